--- /dev/null
+++ b/internal/outernames/names_test.go
@@ -0,0 +1,137 @@
+package outernames_test
+
+import (
+	"fmt"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/balsamgauge/balsamgauge/internal/advisory"
+	"github.com/balsamgauge/balsamgauge/internal/core/duty"
+	"github.com/balsamgauge/balsamgauge/internal/core/effect"
+	"github.com/balsamgauge/balsamgauge/internal/core/event"
+	"github.com/balsamgauge/balsamgauge/internal/core/job"
+	"github.com/balsamgauge/balsamgauge/internal/core/message"
+	"github.com/balsamgauge/balsamgauge/internal/core/scheduler"
+	"github.com/balsamgauge/balsamgauge/internal/core/task"
+	"github.com/balsamgauge/balsamgauge/internal/core/vm"
+	"github.com/balsamgauge/balsamgauge/internal/core/worker"
+	"github.com/balsamgauge/balsamgauge/internal/intake"
+	"github.com/balsamgauge/balsamgauge/internal/peerlink"
+	"github.com/balsamgauge/balsamgauge/internal/timeline"
+	"github.com/balsamgauge/balsamgauge/pkg/outcome"
+	"github.com/balsamgauge/balsamgauge/pkg/table"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+)
+
+// encoded lists the roots of what is written for another process: its outer
+// name, the key of its struct tags and a value of its type.
+var encoded = []struct {
+	name, tag string
+	value     any
+}{
+	{"store config/doc", "json", table.Config{}},
+	{"store edit", "json", table.Edit{}},
+	{"store job", "msgpack", job.Spec{}},
+	{"store progress", "msgpack", job.Progress{}},
+	{"store ended", "msgpack", job.Outcome{}},
+	{"store duty/holder", "msgpack", duty.Holder{}},
+	{"store duty/load", "msgpack", scheduler.Load{}},
+	{"store tasks", "json", task.Record{}},
+	{"callers task", "json", task.Status{}},
+	{"callers refusal", "json", outcome.Refusal{}},
+	{"operators status", "json", effect.Status{}},
+	{"operators difference", "json", table.Difference{}},
+	{"operators timeline", "json", timeline.Event{}},
+	{"workers task", "json", event.WorkerTask{}},
+	{"workers attempt", "json", effect.TaskAttempt{}},
+	{"platform vm", "json", vm.VM{}},
+	{"advisory question", "msgpack", advisory.Question{}},
+	{"advisory tickets", "msgpack", advisory.Tickets{}},
+	{"peers hello", "json", peerlink.Hello{}},
+}
+
+// messages lists one value of each type of message between entries.
+var messages = []message.Message{
+	message.Heartbeat{}, message.Edits{}, message.SnapshotAsk{}, message.Snapshot{}, message.Demand{}, message.Grants{},
+	message.PermitAsk{}, message.PermitTransfer{}, message.Freeze{}, message.Frozen{}, message.TaskAsk{}, message.TaskTold{},
+	message.Reserve{}, message.Reserved{}, message.Release{}, message.Recall{}, message.Keep{},
+}
+
+// TestNames guards against a renamed field, value or type of message that
+// processes of another version would not read.
+func TestNames(t *testing.T) {
+	var lines []string
+	for _, one := range encoded {
+		lines = append(lines, one.name)
+		lines = append(lines, fields(reflect.TypeOf(one.value), one.tag, "\t", nil)...)
+	}
+	for _, msg := range messages {
+		data, err := message.Encode(msg)
+		assert.NilError(t, err)
+		lines = append(lines, fmt.Sprintf("message %d", data[0]))
+		lines = append(lines, fields(reflect.TypeOf(msg), "json", "\t", nil)...)
+	}
+	golden.Assert(t, strings.Join(lines, "\n")+"\n", "fields.golden")
+}
+
+// TestValues guards against renamed values of logs and metrics.
+func TestValues(t *testing.T) {
+	lines := []string{"verdict"}
+	for val := intake.VerdictOK; val <= intake.VerdictUnknown; val++ {
+		lines = append(lines, "\t"+val.String())
+	}
+	lines = append(lines, "order")
+	for val := worker.ResultOK; val <= worker.ResultInvalid; val++ {
+		lines = append(lines, "\t"+val.String())
+	}
+	lines = append(lines, "machine order")
+	for val := worker.MachineOK; val <= worker.MachineInvalid; val++ {
+		lines = append(lines, "\t"+val.String())
+	}
+	golden.Assert(t, strings.Join(lines, "\n")+"\n", "values.golden")
+}
+
+// fields lists the names and kinds of a type's encoded fields, nested ones
+// indented below theirs.
+func fields(typ reflect.Type, tag, indent string, above []reflect.Type) (lines []string) {
+	for typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Slice || typ.Kind() == reflect.Map {
+		typ = typ.Elem()
+	}
+	for _, outer := range above {
+		if outer == typ {
+			return nil
+		}
+	}
+	if typ.Kind() != reflect.Struct || typ.PkgPath() == "time" {
+		return nil
+	}
+	for i := range typ.NumField() {
+		fie := typ.Field(i)
+		if !fie.IsExported() {
+			continue
+		}
+		name := fie.Tag.Get(tag)
+		if name == "" {
+			name = fie.Name
+		}
+		lines = append(lines, indent+name+" "+kind(fie.Type))
+		lines = append(lines, fields(fie.Type, tag, indent+"\t", append(above, typ))...)
+	}
+	return lines
+}
+
+// kind describes a type without the names that this program gives it.
+func kind(typ reflect.Type) string {
+	switch typ.Kind() {
+	case reflect.Pointer:
+		return kind(typ.Elem())
+	case reflect.Slice:
+		return "[]" + kind(typ.Elem())
+	case reflect.Map:
+		return "map[" + kind(typ.Key()) + "]" + kind(typ.Elem())
+	default:
+		return typ.Kind().String()
+	}
+}
--- /dev/null
+++ b/internal/runner/timer_test.go
@@ -0,0 +1,61 @@
+package runner
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/balsamgauge/balsamgauge/internal/core/event"
+	"github.com/rcrowley/go-metrics"
+	"gotest.tools/v3/assert"
+	"gotest.tools/v3/golden"
+)
+
+// timedEvents lists one event of each type.
+var timedEvents = []event.Event{
+	event.AcceptingStopped{}, event.AttemptEnded{}, event.FleetListed{}, event.MembersGone{}, event.OperatorAsked{},
+	event.PeerDown{}, event.PeerSaid{}, event.PeerUp{}, event.RequestArrived{}, event.RequestCancelled{},
+	event.ShutdownAsked{}, event.Started{}, event.StatusAsked{}, event.StoreAnswered{}, event.StoreChanged{},
+	event.TaskAsked{}, event.TaskCancelled{}, event.TaskStartEnded{}, event.TaskSubmitted{}, event.Tick{},
+	event.WorkerReported{},
+}
+
+// TestTimerNames guards against a renamed type of event that renames the metric
+// of its reduction.
+func TestTimerNames(t *testing.T) {
+	rnr := &Runner{registry: metrics.NewRegistry(), timers: map[reflect.Type]metrics.Timer{}}
+	var names []string
+	for _, evt := range timedEvents {
+		timer := rnr.timerOf(evt)
+		rnr.registry.Each(func(name string, one any) {
+			if one == any(timer) {
+				names = append(names, name)
+			}
+		})
+	}
+	golden.Assert(t, strings.Join(names, "\n")+"\n", "timers.golden")
+}
+
+// TestTimerNamesCoverAllEvents counts the types of events in the source.
+func TestTimerNamesCoverAllEvents(t *testing.T) {
+	paths, err := filepath.Glob("../core/event/*.go")
+	assert.NilError(t, err)
+	count := 0
+	for _, path := range paths {
+		src, err := os.ReadFile(path)
+		assert.NilError(t, err)
+		file, err := parser.ParseFile(token.NewFileSet(), path, src, 0)
+		assert.NilError(t, err)
+		for _, decl := range file.Decls {
+			if fun, ok := decl.(*ast.FuncDecl); ok && fun.Recv != nil && fun.Name.Name == "isEvent" {
+				count++
+			}
+		}
+	}
+	assert.Equal(t, count, len(timedEvents))
+}
