--- a/internal/core/fleet/fleet.go
+++ b/internal/core/rebalance/rebalance.go
@@ -1,7 +1,7 @@
-// Package fleet decides which machines move between pools. Moves cost about as
+// Package rebalance decides which machines move between pools. Moves cost about as
 // much as a second of a machine and take the machine away for longer, so that
 // only empty machines move, to pools that lack room or to standby.
-package fleet
+package rebalance
 
 import (
 	"cmp"
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/rebalance/rebalance_test.go
@@ -1,4 +1,4 @@
-package fleet
+package rebalance
 
 import (
 	"testing"
--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"github.com/balsamgauge/balsamgauge/internal/core/fleet"
+	"github.com/balsamgauge/balsamgauge/internal/core/rebalance"
 	"github.com/balsamgauge/balsamgauge/internal/core/worker"
 )
 
@@ -116,7 +116,7 @@
 	sta.fleetAt = sta.now
 	pools := sta.fleetPools()
 	sta.notePools(pools)
-	moves := fleet.Plan(pools, int(math.Ceil(sta.opt.MovesPerSecond*movesShare*fleetEvery.Seconds())), sta.spareMachines(pools), func(machine, pool string) bool { return !sta.barred[machine+" "+pool] })
+	moves := rebalance.Plan(pools, int(math.Ceil(sta.opt.MovesPerSecond*movesShare*fleetEvery.Seconds())), sta.spareMachines(pools), func(machine, pool string) bool { return !sta.barred[machine+" "+pool] })
 	for _, mov := range moves {
 		mac := sta.machines.byName[mov.Machine]
 		if hos := sta.hosts[mac.VM]; hos != nil {
@@ -130,7 +130,7 @@
 
 // spareMachines returns how many machines the pools don't need together, by the
 // most that they wanted within a while.
-func (sta *State) spareMachines(pools []fleet.Pool) int {
+func (sta *State) spareMachines(pools []rebalance.Pool) int {
 	have, want := 0, 0
 	for _, poo := range pools {
 		if !poo.Standby {
@@ -146,7 +146,7 @@
 }
 
 // notePools tells the log once a second what the pools have and want.
-func (sta *State) notePools(pools []fleet.Pool) {
+func (sta *State) notePools(pools []rebalance.Pool) {
 	if sta.now.Sub(sta.poolsNoted) < time.Second {
 		return
 	}
@@ -159,12 +159,12 @@
 }
 
 // fleetPools describes the pools for the plan.
-func (sta *State) fleetPools() (pools []fleet.Pool) {
+func (sta *State) fleetPools() (pools []rebalance.Pool) {
 	incoming := sta.incoming()
 	needed := sta.needed()
 	for i := range sta.catalog.Pools {
 		poo := &sta.catalog.Pools[i]
-		flp := fleet.Pool{Name: poo.Name, Standby: poo.Standby, Have: incoming[poo.Name]}
+		flp := rebalance.Pool{Name: poo.Name, Standby: poo.Standby, Have: incoming[poo.Name]}
 		if poo.Standby {
 			flp.Empty = sta.standbyMachines(poo.Name)
 			flp.Have = len(flp.Empty)
@@ -189,7 +189,7 @@
 				lasting++
 			}
 			if name, ok := sta.machines.byVM[hos.vm.ID]; ok && len(hos.list) == 0 {
-				flp.Empty = append(flp.Empty, fleet.Idle{Machine: name, For: sta.now.Sub(hos.emptySince)})
+				flp.Empty = append(flp.Empty, rebalance.Idle{Machine: name, For: sta.now.Sub(hos.emptySince)})
 			}
 		}
 		cores += needed[poo.Name] + dem.rate*leadTime.Seconds()
@@ -222,7 +222,7 @@
 }
 
 // standbyMachines returns the machines of a standby pool that may be moved.
-func (sta *State) standbyMachines(pool string) (idle []fleet.Idle) {
+func (sta *State) standbyMachines(pool string) (idle []rebalance.Idle) {
 	for _, name := range sta.machineNames {
 		mac := sta.machines.byName[name]
 		_, moves := sta.moves[name]
@@ -232,7 +232,7 @@
 		if hos := sta.hosts[mac.VM]; hos != nil && (hos.vm.Leaving || hos.cordoned || hos.goingDown || len(hos.list) > 0) {
 			continue
 		}
-		idle = append(idle, fleet.Idle{Machine: name})
+		idle = append(idle, rebalance.Idle{Machine: name})
 	}
 	return idle
 }
--- a/internal/keeper/keeper.go
+++ b/internal/election/election.go
@@ -1,5 +1,5 @@
-// Package keeper contends for the duty and keeps it for one process.
-package keeper
+// Package election contends for the duty and keeps it for one process.
+package election
 
 import (
 	"context"
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -13,8 +13,8 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/job"
 	"github.com/balsamgauge/balsamgauge/internal/core/scheduler"
 	"github.com/balsamgauge/balsamgauge/internal/decisionlog"
+	"github.com/balsamgauge/balsamgauge/internal/election"
 	"github.com/balsamgauge/balsamgauge/internal/follow"
-	"github.com/balsamgauge/balsamgauge/internal/keeper"
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 	"github.com/balsamgauge/balsamgauge/platform"
 )
@@ -40,7 +40,7 @@
 // dispatcher runs the scheduler for the time of one tenure.
 type dispatcher struct {
 	nod    *Node
-	ten    *keeper.Tenure
+	ten    *election.Tenure
 	sta    *scheduler.State
 	events chan scheduler.Event
 	// load is what was last written.
@@ -54,7 +54,7 @@
 }
 
 // dispatch runs the dispatcher until the context is done.
-func (nod *Node) dispatch(ctx context.Context, ten *keeper.Tenure) {
+func (nod *Node) dispatch(ctx context.Context, ten *election.Tenure) {
 	cur := ten.Current()
 	set := nod.settings()
 	bnd := set.Bounds
--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -17,9 +17,9 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/duty"
 	"github.com/balsamgauge/balsamgauge/internal/core/job"
 	"github.com/balsamgauge/balsamgauge/internal/decisionlog"
+	"github.com/balsamgauge/balsamgauge/internal/election"
 	"github.com/balsamgauge/balsamgauge/internal/follow"
 	"github.com/balsamgauge/balsamgauge/internal/intake"
-	"github.com/balsamgauge/balsamgauge/internal/keeper"
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 	"github.com/balsamgauge/balsamgauge/platform"
 	"github.com/oklog/run"
@@ -58,7 +58,7 @@
 	relay     *advisory.Relay
 	operator  *operatorView
 	load      *loadView
-	keeper    *keeper.Keeper
+	election  *election.Keeper
 	metrics   metrics.Registry
 }
 
@@ -75,7 +75,7 @@
 		operator: newOperatorView(log, clo.Now), load: &loadView{log: log, now: clo.Now}, metrics: metrics.NewRegistry(),
 	}
 	nod.set.Store(&set)
-	nod.keeper = keeper.New(keeper.Options{Store: nod.store, Name: set.Name, CPUShare: set.CPUShare, Log: log, Now: clo.Now, Dispatch: nod.dispatch})
+	nod.election = election.New(election.Options{Store: nod.store, Name: set.Name, CPUShare: set.CPUShare, Log: log, Now: clo.Now, Dispatch: nod.dispatch})
 	return nod, nil
 }
 
@@ -94,7 +94,7 @@
 	defer handOver()
 	var group run.Group
 	kept := make(chan struct{})
-	group.Add(func() error { defer close(kept); nod.keeper.Run(held); return nil }, func(error) { handOver() })
+	group.Add(func() error { defer close(kept); nod.election.Run(held); return nil }, func(error) { handOver() })
 	nod.addFollowers(work, &group, stop)
 	for _, srv := range []struct {
 		address string
@@ -227,17 +227,17 @@
 
 func (nod *Node) dutyReset(items []kv.Item) {
 	held := false
-	largest := kv.Item{Key: keeper.LargestKey}
+	largest := kv.Item{Key: election.LargestKey}
 	for _, itm := range items {
-		if itm.Key == keeper.LargestKey {
+		if itm.Key == election.LargestKey {
 			largest = itm
 		}
 		nod.dutyChanged(kv.Change{Item: itm})
 		held = held || itm.Key == duty.HolderKey
 	}
-	nod.keeper.SawLargest(largest)
+	nod.election.SawLargest(largest)
 	if !held {
-		nod.keeper.Freed()
+		nod.election.Freed()
 	}
 }
 
@@ -245,10 +245,10 @@
 	switch cha.Item.Key {
 	case duty.HolderKey:
 		if cha.Deleted {
-			nod.keeper.Freed()
+			nod.election.Freed()
 		}
-	case keeper.LargestKey:
-		nod.keeper.SawLargest(cha.Item)
+	case election.LargestKey:
+		nod.election.SawLargest(cha.Item)
 	case loadKey:
 		if !cha.Deleted {
 			nod.load.change(cha.Item)
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -23,11 +23,11 @@
 	"github.com/balsamgauge/balsamgauge/internal/etcd"
 	"github.com/balsamgauge/balsamgauge/internal/exchange"
 	"github.com/balsamgauge/balsamgauge/internal/peerlink"
-	"github.com/balsamgauge/balsamgauge/internal/platform"
 	"github.com/balsamgauge/balsamgauge/internal/settings"
 	"github.com/balsamgauge/balsamgauge/internal/timeline"
 	"github.com/balsamgauge/balsamgauge/internal/upstream"
-	"github.com/balsamgauge/balsamgauge/internal/worker"
+	"github.com/balsamgauge/balsamgauge/internal/vmlist"
+	"github.com/balsamgauge/balsamgauge/internal/workerclient"
 	"github.com/balsamgauge/balsamgauge/pkg/table"
 	"github.com/oklog/run"
 	"github.com/rcrowley/go-metrics"
@@ -60,8 +60,8 @@
 	links     *peerlink.Links
 	store     *etcd.Client
 	upstream  *upstream.Client
-	workers   *worker.Client
-	platform  *platform.Client
+	workers   *workerclient.Client
+	vmlist    *vmlist.Client
 	ready     atomic.Bool
 	config    atomic.Pointer[table.Config]
 
@@ -107,8 +107,8 @@
 		registry:  metrics.NewRegistry(),
 		timers:    map[reflect.Type]metrics.Timer{},
 		upstream:  upstream.New(set.ConnectionsPerVM()),
-		workers:   worker.New(),
-		platform:  platform.New(set.VMList),
+		workers:   workerclient.New(),
+		vmlist:    vmlist.New(set.VMList),
 		aborts:    map[attemptKey]context.CancelFunc{},
 		exited:    make(chan struct{}),
 	}
@@ -274,7 +274,7 @@
 	defer ticker.Stop()
 	var told []vm.VM
 	for {
-		vms, err := rnr.platform.List(ctx)
+		vms, err := rnr.vmlist.List(ctx)
 		switch {
 		case err == nil && (told == nil || !slices.Equal(told, vms)):
 			told = vms
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -13,7 +13,7 @@
 
 	"github.com/balsamgauge/balsamgauge/internal/core/effect"
 	"github.com/balsamgauge/balsamgauge/internal/core/event"
-	"github.com/balsamgauge/balsamgauge/internal/worker"
+	"github.com/balsamgauge/balsamgauge/internal/workerclient"
 )
 
 // Payload words that tell the stand-in what a task should do. Anything else is
@@ -86,11 +86,11 @@
 		return nil, fmt.Errorf("start worker %s: %w", vmID, err)
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+worker.PathStart, handle(wkr.start))
-	mux.HandleFunc("POST "+worker.PathPoll, handle(wkr.poll))
-	mux.HandleFunc("POST "+worker.PathStop, handle(wkr.stop))
-	mux.HandleFunc("POST "+worker.PathCheckpoint, handle(wkr.checkpoint))
-	mux.HandleFunc("POST "+worker.PathThrottle, handle(wkr.throttle))
+	mux.HandleFunc("POST "+workerclient.PathStart, handle(wkr.start))
+	mux.HandleFunc("POST "+workerclient.PathPoll, handle(wkr.poll))
+	mux.HandleFunc("POST "+workerclient.PathStop, handle(wkr.stop))
+	mux.HandleFunc("POST "+workerclient.PathCheckpoint, handle(wkr.checkpoint))
+	mux.HandleFunc("POST "+workerclient.PathThrottle, handle(wkr.throttle))
 	wkr.server = &http.Server{Handler: mux}
 	go func() { _ = wkr.server.Serve(wkr.listener) }()
 	return wkr, nil
@@ -127,7 +127,7 @@
 
 type empty struct{}
 
-func (wkr *Worker) start(now time.Time, req worker.StartRequest) (empty, int) {
+func (wkr *Worker) start(now time.Time, req workerclient.StartRequest) (empty, int) {
 	wkr.mu.Lock()
 	defer wkr.mu.Unlock()
 	if req.Attempt <= wkr.fences[req.TaskID] {
@@ -152,10 +152,10 @@
 	return empty{}, http.StatusOK
 }
 
-func (wkr *Worker) poll(now time.Time, req worker.PollRequest) (worker.PollResponse, int) {
+func (wkr *Worker) poll(now time.Time, req workerclient.PollRequest) (workerclient.PollResponse, int) {
 	wkr.mu.Lock()
 	defer wkr.mu.Unlock()
-	var rsp worker.PollResponse
+	var rsp workerclient.PollResponse
 	for _, att := range req.Tasks {
 		rsp.Tasks = append(rsp.Tasks, wkr.report(now, att, time.Duration(req.LeaseMS)*time.Millisecond))
 	}
@@ -213,18 +213,18 @@
 
 // checkpoint tells how much of a task is left, as a span at full speed. A later
 // start may go on from there.
-func (wkr *Worker) checkpoint(now time.Time, att effect.TaskAttempt) (worker.CheckpointResponse, int) {
+func (wkr *Worker) checkpoint(now time.Time, att effect.TaskAttempt) (workerclient.CheckpointResponse, int) {
 	wkr.mu.Lock()
 	defer wkr.mu.Unlock()
 	tsk, ok := wkr.tasks[att.TaskID]
 	if !ok || tsk.attempt != att.Attempt {
-		return worker.CheckpointResponse{}, http.StatusNotFound
+		return workerclient.CheckpointResponse{}, http.StatusNotFound
 	}
-	return worker.CheckpointResponse{Checkpoint: []byte(tsk.left(now).String())}, http.StatusOK
+	return workerclient.CheckpointResponse{Checkpoint: []byte(tsk.left(now).String())}, http.StatusOK
 }
 
 // throttle changes the speed of a task.
-func (wkr *Worker) throttle(now time.Time, req worker.ThrottleRequest) (empty, int) {
+func (wkr *Worker) throttle(now time.Time, req workerclient.ThrottleRequest) (empty, int) {
 	wkr.mu.Lock()
 	defer wkr.mu.Unlock()
 	tsk, ok := wkr.tasks[req.TaskID]
--- a/internal/standin/taskworker/taskworker_test.go
+++ b/internal/standin/taskworker/taskworker_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/balsamgauge/balsamgauge/internal/core/effect"
 	"github.com/balsamgauge/balsamgauge/internal/core/event"
-	"github.com/balsamgauge/balsamgauge/internal/worker"
+	"github.com/balsamgauge/balsamgauge/internal/workerclient"
 	"gotest.tools/v3/assert"
 )
 
@@ -18,14 +18,14 @@
 }
 
 func (wkr *Worker) stateAt(after time.Duration, attempt int) event.WorkerState {
-	rsp, _ := wkr.poll(began.Add(after), worker.PollRequest{
+	rsp, _ := wkr.poll(began.Add(after), workerclient.PollRequest{
 		Tasks: []effect.TaskAttempt{{TaskID: "t", Attempt: attempt}}, LeaseMS: 5000,
 	})
 	return rsp.Tasks[0].State
 }
 
-func start(attempt int, checkpoint string) worker.StartRequest {
-	return worker.StartRequest{TaskID: "t", Attempt: attempt, Payload: []byte("10s"), LeaseMS: 5000, Checkpoint: []byte(checkpoint)}
+func start(attempt int, checkpoint string) workerclient.StartRequest {
+	return workerclient.StartRequest{TaskID: "t", Attempt: attempt, Payload: []byte("10s"), LeaseMS: 5000, Checkpoint: []byte(checkpoint)}
 }
 
 func TestLeaseThatLapsesStopsTheTask(t *testing.T) {
@@ -47,7 +47,7 @@
 func TestThrottleAndCheckpoint(t *testing.T) {
 	wkr := newWorker()
 	wkr.start(began, start(1, ""))
-	half := worker.ThrottleRequest{TaskAttempt: effect.TaskAttempt{TaskID: "t", Attempt: 1}, Percent: 50}
+	half := workerclient.ThrottleRequest{TaskAttempt: effect.TaskAttempt{TaskID: "t", Attempt: 1}, Percent: 50}
 	_, status := wkr.throttle(began.Add(2*time.Second), half)
 	assert.Equal(t, status, http.StatusOK)
 	rsp, _ := wkr.checkpoint(began.Add(4*time.Second), half.TaskAttempt)
--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"github.com/balsamgauge/balsamgauge/internal/core/vm"
-	"github.com/balsamgauge/balsamgauge/internal/platform"
+	"github.com/balsamgauge/balsamgauge/internal/vmlist"
 )
 
 // List is the stand-in. It is safe for concurrent use.
@@ -76,6 +76,6 @@
 func (lst *List) Handler() http.Handler {
 	return http.HandlerFunc(func(wrt http.ResponseWriter, _ *http.Request) {
 		wrt.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(wrt).Encode(platform.List{VMs: lst.VMs(time.Now())})
+		_ = json.NewEncoder(wrt).Encode(vmlist.List{VMs: lst.VMs(time.Now())})
 	})
 }
--- a/internal/platform/platform.go
+++ b/internal/vmlist/client.go
@@ -1,6 +1,6 @@
-// Package platform reads the platform's list of VMs, which lags behind what
+// Package vmlist reads the platform's list of VMs, which lags behind what
 // happens.
-package platform
+package vmlist
 
 import (
 	"context"
--- a/internal/worker/client.go
+++ b/internal/workerclient/client.go
@@ -1,6 +1,6 @@
-// Package worker speaks the platform's protocol for workers: tasks are started
+// Package workerclient speaks the platform's protocol for workers: tasks are started
 // under leases, polled and stopped.
-package worker
+package workerclient
 
 import (
 	"bytes"
