--- a/internal/core/scheduler/effect.go
+++ b/internal/core/scheduler/effect.go
@@ -11,8 +11,8 @@
 // Effect is something to be done.
 type Effect interface{ effect() }
 
-// Look asks a VM what it runs, and extends the lease of all that runs there.
-type Look struct {
+// Poll asks a VM what it runs, and extends the lease of all that runs there.
+type Poll struct {
 	VM worker.VM
 	// Acked is the highest number of an end that is stored.
 	Acked int64
@@ -99,7 +99,7 @@
 	Fields map[string]any
 }
 
-func (Look) effect()         {}
+func (Poll) effect()         {}
 func (Start) effect()        {}
 func (Stop) effect()         {}
 func (Pace) effect()         {}
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -376,7 +376,7 @@
 
 func (emu *emulator) perform(eff Effect) {
 	switch eff := eff.(type) {
-	case Look:
+	case Poll:
 		emu.known[eff.VM.ID] = true
 		emu.performLook(eff)
 	case Start:
@@ -770,7 +770,7 @@
 	return worker.ResultOK
 }
 
-func (emu *emulator) performLook(eff Look) {
+func (emu *emulator) performLook(eff Poll) {
 	sent, term := emu.now, emu.term
 	answered := false
 	answer := func(res worker.Result, rep worker.Report) {
--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -170,7 +170,7 @@
 }
 
 func (sta *State) sendLook(hos *host) {
-	loo := Look{VM: hos.vm, Acked: hos.acked}
+	loo := Poll{VM: hos.vm, Acked: hos.acked}
 	// A look that stays unanswered may arrive all the same. One that extended the
 	// lease of a silent VM would put off the time when its tasks may start
 	// elsewhere.
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -33,7 +33,7 @@
 // goroutine of their own and report by an event.
 func (dis *dispatcher) perform(ctx context.Context, now time.Time, eff scheduler.Effect) {
 	switch eff := eff.(type) {
-	case scheduler.Look:
+	case scheduler.Poll:
 		go dis.look(ctx, now, eff)
 	case scheduler.Start:
 		go dis.start(ctx, eff)
@@ -92,7 +92,7 @@
 // term returns the dispatcher's term.
 func (dis *dispatcher) term() int64 { return dis.ten.Current().Holder.Term }
 
-func (dis *dispatcher) look(ctx context.Context, now time.Time, eff scheduler.Look) {
+func (dis *dispatcher) look(ctx context.Context, now time.Time, eff scheduler.Poll) {
 	ask, cancel := context.WithTimeout(ctx, eff.Wait+lookSlack)
 	defer cancel()
 	rep, res, err := dis.nod.executors.Look(ask, eff.VM, platform.Look{Term: dis.term(), Acked: eff.Acked, Deadline: eff.Deadline, Wait: eff.Wait})
