--- a/internal/core/scheduler/attempts_test.go
+++ b/internal/core/scheduler/attempts_test.go
@@ -15,8 +15,8 @@
 }
 
 // ended is a VM's answer to a look that lists one end.
-func ended(vm worker.VM, sent time.Time, end worker.End) Looked {
-	return Looked{VM: vm, Sent: sent, Report: worker.Report{Born: vm.Born, Clock: time.Second, Ends: []worker.End{end}}}
+func ended(vm worker.VM, sent time.Time, end worker.End) PollAnswered {
+	return PollAnswered{VM: vm, Sent: sent, Report: worker.Report{Born: vm.Born, Clock: time.Second, Ends: []worker.End{end}}}
 }
 
 // TestFailuresHeardInReverse takes over from a dispatcher that saw two runs of a
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -780,7 +780,7 @@
 		answered = true
 		emu.after(emulatedLatency, func() {
 			if term == emu.term {
-				emu.tell(Looked{VM: eff.VM, Sent: sent, Report: rep, Result: res})
+				emu.tell(PollAnswered{VM: eff.VM, Sent: sent, Report: rep, Result: res})
 			}
 		})
 	}
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -49,8 +49,8 @@
 	Machines []worker.Machine
 }
 
-// Looked answers a Look.
-type Looked struct {
+// PollAnswered answers a Look.
+type PollAnswered struct {
 	VM     worker.VM
 	Sent   time.Time
 	Report worker.Report
@@ -138,7 +138,7 @@
 func (VMRegistered) event()    {}
 func (VMUnregistered) event()  {}
 func (MachinesListed) event()  {}
-func (Looked) event()          {}
+func (PollAnswered) event()    {}
 func (StartAnswered) event()   {}
 func (StopAnswered) event()    {}
 func (PaceAnswered) event()    {}
--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -200,7 +200,7 @@
 }
 
 // looked takes in a VM's answer to a look.
-func (sta *State) looked(hos *host, evt Looked) {
+func (sta *State) looked(hos *host, evt PollAnswered) {
 	hos.looking = false
 	hos.nextLook = sta.now.Add(lookPause)
 	if len(evt.Report.Ends) > 0 {
@@ -223,7 +223,7 @@
 }
 
 // report takes in what a VM runs and what has ended there.
-func (sta *State) report(hos *host, evt Looked) {
+func (sta *State) report(hos *host, evt PollAnswered) {
 	if born := evt.Report.Born; born != 0 {
 		if hos.vm.Born != 0 && born != hos.vm.Born {
 			sta.lose(hos, "born anew")
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -87,7 +87,7 @@
 // handleAnswer takes in what VMs answered. Answers of former lives are void.
 func (sta *State) handleAnswer(evt Event) {
 	switch evt := evt.(type) {
-	case Looked:
+	case PollAnswered:
 		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameLife(evt.VM) {
 			sta.looked(hos, evt)
 		}
--- a/internal/core/scheduler/stale_test.go
+++ b/internal/core/scheduler/stale_test.go
@@ -30,12 +30,12 @@
 			}
 		}
 	}
-	lists := func(vm worker.VM, runs ...int) Looked {
+	lists := func(vm worker.VM, runs ...int) PollAnswered {
 		rep := worker.Report{Born: vm.Born, Clock: time.Second}
 		for _, run := range runs {
 			rep.Running = append(rep.Running, worker.Running{Task: name, Run: run})
 		}
-		return Looked{VM: vm, Sent: now.Add(time.Millisecond), Report: rep}
+		return PollAnswered{VM: vm, Sent: now.Add(time.Millisecond), Report: rep}
 	}
 	reduce(CatalogChanged{testCatalog()}, VMRegistered{one}, VMRegistered{oth}, JobAccepted{Spec: spe, Revision: 5}, Loaded{})
 	reduce(MachinesListed{Asked: now, Machines: []worker.Machine{
@@ -45,12 +45,12 @@
 	reduce(lists(one, 3))
 	// VM 2 is in quarantine for a while, so that VM 1 would be chosen.
 	sta.hosts[oth.ID].failures = maxFailures + 2
-	reduce(Looked{VM: oth, Sent: now, Report: worker.Report{Born: 1, Clock: time.Second, Ends: []worker.End{{Number: 1, Task: name, Run: 5, Kind: worker.EndFailed}}}})
+	reduce(PollAnswered{VM: oth, Sent: now, Report: worker.Report{Born: 1, Clock: time.Second, Ends: []worker.End{{Number: 1, Task: name, Run: 5, Kind: worker.EndFailed}}}})
 	reduce(Tick{})
 	for _, start := range starts {
 		assert.Assert(t, start.VM.ID != one.ID, "run %d starts on %s, where run 3 is being stopped", start.Run, start.VM.ID)
 	}
-	reduce(Looked{VM: one, Sent: now, Report: worker.Report{Born: 1, Clock: time.Second, Ends: []worker.End{{Number: 1, Task: name, Run: 3, Kind: worker.EndStopped}}}})
+	reduce(PollAnswered{VM: one, Sent: now, Report: worker.Report{Born: 1, Clock: time.Second, Ends: []worker.End{{Number: 1, Task: name, Run: 3, Kind: worker.EndStopped}}}})
 	for range 300 {
 		reduce(Tick{})
 	}
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -97,7 +97,7 @@
 	defer cancel()
 	rep, res, err := dis.nod.executors.Look(ask, eff.VM, platform.Look{Term: dis.term(), Acked: eff.Acked, Deadline: eff.Deadline, Wait: eff.Wait})
 	dis.failed("look", eff.VM.ID, err)
-	dis.send(ctx, scheduler.Looked{VM: eff.VM, Sent: now, Report: rep, Result: res})
+	dis.send(ctx, scheduler.PollAnswered{VM: eff.VM, Sent: now, Report: rep, Result: res})
 }
 
 func (dis *dispatcher) start(ctx context.Context, eff scheduler.Start) {
