--- a/internal/core/scheduler/effect.go
+++ b/internal/core/scheduler/effect.go
@@ -91,8 +91,8 @@
 // GiveUp ends the duty: another dispatcher has taken it.
 type GiveUp struct{ Reason string }
 
-// Note is a decision for the log.
-type Note struct {
+// LogDecision is a decision for the log.
+type LogDecision struct {
 	Name string
 	// Job is empty if the decision concerns none.
 	Job    job.ID
@@ -111,4 +111,4 @@
 func (Move) effect()         {}
 func (Forget) effect()       {}
 func (GiveUp) effect()       {}
-func (Note) effect()         {}
+func (LogDecision) effect()  {}
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -409,7 +409,7 @@
 		emu.killDispatcher()
 	case Forget:
 		delete(emu.known, eff.VM.ID)
-	case Note:
+	case LogDecision:
 		emu.notes[eff.Name]++
 	}
 }
--- a/internal/core/scheduler/state.go
+++ b/internal/core/scheduler/state.go
@@ -340,7 +340,7 @@
 func (sta *State) emit(eff Effect) { sta.effects = append(sta.effects, eff) }
 
 func (sta *State) note(name string, id job.ID, fields map[string]any) {
-	sta.emit(Note{Name: name, Job: id, Fields: fields})
+	sta.emit(LogDecision{Name: name, Job: id, Fields: fields})
 }
 
 // ratio learns how run times compare with the estimates.
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -65,14 +65,14 @@
 	case scheduler.GiveUp:
 		dis.nod.log.Event("duty_given_up", decisionlog.Fields{"reason": eff.Reason})
 		dis.ten.Lose()
-	case scheduler.Note:
+	case scheduler.LogDecision:
 		dis.note(eff)
 	default:
 		panic(fmt.Sprintf("manager: unknown effect %T", eff))
 	}
 }
 
-func (dis *dispatcher) note(not scheduler.Note) {
+func (dis *dispatcher) note(not scheduler.LogDecision) {
 	fields := decisionlog.Fields{}
 	for key, value := range not.Fields {
 		fields[key] = value
