--- a/internal/core/scheduler/effect.go
+++ b/internal/core/scheduler/effect.go
@@ -88,8 +88,8 @@
 // Forget says that a life of a VM has ended: no calls are made to it any more.
 type Forget struct{ VM worker.VM }
 
-// GiveUp ends the duty: another dispatcher has taken it.
-type GiveUp struct{ Reason string }
+// StepDown ends the duty: another dispatcher has taken it.
+type StepDown struct{ Reason string }
 
 // LogDecision is a decision for the log.
 type LogDecision struct {
@@ -110,5 +110,5 @@
 func (SaveWave) effect()     {}
 func (Move) effect()         {}
 func (Forget) effect()       {}
-func (GiveUp) effect()       {}
+func (StepDown) effect()     {}
 func (LogDecision) effect()  {}
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -405,7 +405,7 @@
 				emu.begun = eff.Begun
 			}
 		})
-	case GiveUp:
+	case StepDown:
 		emu.killDispatcher()
 	case Forget:
 		delete(emu.known, eff.VM.ID)
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -110,7 +110,7 @@
 
 func (sta *State) giveUp(reason string) {
 	sta.gaveUp = true
-	sta.emit(GiveUp{Reason: reason})
+	sta.emit(StepDown{Reason: reason})
 }
 
 // indexPools sorts the hosts, and into their pools.
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -62,7 +62,7 @@
 		go dis.saveWave(ctx, eff)
 	case scheduler.Forget:
 		dis.nod.executors.Forget(eff.VM.Address)
-	case scheduler.GiveUp:
+	case scheduler.StepDown:
 		dis.nod.log.Event("duty_given_up", decisionlog.Fields{"reason": eff.Reason})
 		dis.ten.Lose()
 	case scheduler.LogDecision:
