--- a/internal/core/scheduler/advice_test.go
+++ b/internal/core/scheduler/advice_test.go
@@ -29,7 +29,7 @@
 	return ok && now.Before(until) && strings.HasPrefix(ord.Ticket, ord.VM.ID+"/")
 }
 
-func (emu *emulator) performAdvise(eff Advise) {
+func (emu *emulator) performAdvise(eff QueryAdvisor) {
 	adv := emu.advisor
 	adv.asked++
 	adv.busy++
--- a/internal/core/scheduler/effect.go
+++ b/internal/core/scheduler/effect.go
@@ -53,8 +53,8 @@
 // still holds the duty.
 type Commit struct{ Txn kv.Txn }
 
-// Advise asks which VMs may run a step.
-type Advise struct {
+// QueryAdvisor asks which VMs may run a step.
+type QueryAdvisor struct {
 	Job        job.ID
 	Occurrence int
 	Step       int
@@ -104,7 +104,7 @@
 func (Stop) effect()         {}
 func (Pace) effect()         {}
 func (Commit) effect()       {}
-func (Advise) effect()       {}
+func (QueryAdvisor) effect() {}
 func (ListMachines) effect() {}
 func (Upkeep) effect()       {}
 func (SaveWave) effect()     {}
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -389,7 +389,7 @@
 		})
 	case Commit:
 		emu.performCommit(eff)
-	case Advise:
+	case QueryAdvisor:
 		emu.performAdvise(eff)
 	case ListMachines:
 		asked := emu.now
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -46,7 +46,7 @@
 			rev, err := dis.commit(ctx, eff.Txn)
 			dis.send(ctx, scheduler.Committed{Revision: rev, Err: err})
 		}()
-	case scheduler.Advise:
+	case scheduler.QueryAdvisor:
 		go dis.advise(ctx, eff)
 	case scheduler.ListMachines:
 		go dis.listMachines(ctx, now)
@@ -127,7 +127,7 @@
 	dis.send(ctx, scheduler.PaceAnswered{VM: eff.VM, Task: eff.Task, Percent: eff.Percent, Result: res})
 }
 
-func (dis *dispatcher) advise(ctx context.Context, eff scheduler.Advise) {
+func (dis *dispatcher) advise(ctx context.Context, eff scheduler.QueryAdvisor) {
 	evt := scheduler.Advised{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs}
 	ask, cancel := context.WithTimeout(ctx, advisory.Timeout(eff.Decision))
 	defer cancel()
