--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -144,7 +144,7 @@
 }
 
 // advised takes in the advisor's answer.
-func (sta *State) advised(evt Advised) {
+func (sta *State) advised(evt AdvisorAnswered) {
 	sta.asking--
 	stg := sta.stageOf(job.Task{Job: evt.Job, Occurrence: evt.Occurrence, Step: evt.Step})
 	if stg == nil {
--- a/internal/core/scheduler/advice_test.go
+++ b/internal/core/scheduler/advice_test.go
@@ -42,7 +42,7 @@
 			return
 		}
 		adv.busy--
-		evt := Advised{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, Sent: sent, VMs: eff.VMs, Tickets: map[string]string{}, Valid: adv.advice.Valid}
+		evt := AdvisorAnswered{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, Sent: sent, VMs: eff.VMs, Tickets: map[string]string{}, Valid: adv.advice.Valid}
 		hash := fnv.New32()
 		fmt.Fprintf(hash, "%s.%d", eff.Job, eff.Step)
 		for _, vm := range eff.VMs {
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -87,8 +87,8 @@
 	Err      error
 }
 
-// Advised answers an Advise. Tickets is nil if no advice came.
-type Advised struct {
+// AdvisorAnswered answers an Advise. Tickets is nil if no advice came.
+type AdvisorAnswered struct {
 	Job        job.ID
 	Occurrence int
 	Step       int
@@ -143,7 +143,7 @@
 func (StopAnswered) event()    {}
 func (PaceAnswered) event()    {}
 func (Committed) event()       {}
-func (Advised) event()         {}
+func (AdvisorAnswered) event() {}
 func (AskersChanged) event()   {}
 func (WaveAsked) event()       {}
 func (WaveWithdrawn) event()   {}
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -71,7 +71,7 @@
 // handleAdvice takes in what concerns the advisor, and other events.
 func (sta *State) handleAdvice(evt Event) {
 	switch evt := evt.(type) {
-	case Advised:
+	case AdvisorAnswered:
 		sta.advised(evt)
 	case AskersChanged:
 		sta.askers = evt.Count
