--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -291,7 +291,7 @@
 	emu.tell(CatalogChanged{Catalog: emu.catalog})
 	if emu.advisor != nil {
 		emu.advisor.busy = 0
-		emu.tell(AskersChanged{Count: emu.advisor.askers})
+		emu.tell(AdvisorSlotsChanged{Count: emu.advisor.askers})
 	}
 	for _, name := range emu.names {
 		if vm := emu.vms[name]; vm.up {
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -99,8 +99,8 @@
 	Valid   time.Duration
 }
 
-// AskersChanged says how many questions may be put to the advisor at once.
-type AskersChanged struct{ Count int }
+// AdvisorSlotsChanged says how many questions may be put to the advisor at once.
+type AdvisorSlotsChanged struct{ Count int }
 
 // WaveAsked brings a wave of upkeep, with the machines whose upkeep a former
 // dispatcher began.
@@ -130,24 +130,24 @@
 // taken have been brought.
 type Loaded struct{}
 
-func (Tick) event()            {}
-func (CatalogChanged) event()  {}
-func (ZonesChanged) event()    {}
-func (JobAccepted) event()     {}
-func (JobCancelled) event()    {}
-func (VMRegistered) event()    {}
-func (VMUnregistered) event()  {}
-func (MachinesListed) event()  {}
-func (PollAnswered) event()    {}
-func (StartAnswered) event()   {}
-func (StopAnswered) event()    {}
-func (PaceAnswered) event()    {}
-func (Committed) event()       {}
-func (AdvisorAnswered) event() {}
-func (AskersChanged) event()   {}
-func (WaveAsked) event()       {}
-func (WaveWithdrawn) event()   {}
-func (MachineAnswered) event() {}
-func (EndedListed) event()     {}
-func (ViewConfirmed) event()   {}
-func (Loaded) event()          {}
+func (Tick) event()                {}
+func (CatalogChanged) event()      {}
+func (ZonesChanged) event()        {}
+func (JobAccepted) event()         {}
+func (JobCancelled) event()        {}
+func (VMRegistered) event()        {}
+func (VMUnregistered) event()      {}
+func (MachinesListed) event()      {}
+func (PollAnswered) event()        {}
+func (StartAnswered) event()       {}
+func (StopAnswered) event()        {}
+func (PaceAnswered) event()        {}
+func (Committed) event()           {}
+func (AdvisorAnswered) event()     {}
+func (AdvisorSlotsChanged) event() {}
+func (WaveAsked) event()           {}
+func (WaveWithdrawn) event()       {}
+func (MachineAnswered) event()     {}
+func (EndedListed) event()         {}
+func (ViewConfirmed) event()       {}
+func (Loaded) event()              {}
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -73,7 +73,7 @@
 	switch evt := evt.(type) {
 	case AdvisorAnswered:
 		sta.advised(evt)
-	case AskersChanged:
+	case AdvisorSlotsChanged:
 		sta.askers = evt.Count
 	case EndedListed:
 		sta.endedListed(evt)
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -102,7 +102,7 @@
 		}
 		if size := dis.askers.Size(); size != dis.asked {
 			dis.asked = size
-			batch = append(batch, scheduler.AskersChanged{Count: size})
+			batch = append(batch, scheduler.AdvisorSlotsChanged{Count: size})
 		}
 		effects := dis.sta.Reduce(now, batch)
 		batch = batch[:0]
