--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -326,7 +326,7 @@
 		emu.tell(evt)
 	}
 	if emu.wave != nil {
-		emu.tell(WaveAsked{Wave: *emu.wave, Begun: emu.begun})
+		emu.tell(WaveRequested{Wave: *emu.wave, Begun: emu.begun})
 	}
 	emu.tell(Loaded{})
 	var ended EndedListed
@@ -432,7 +432,7 @@
 // askWave asks for the upkeep of all VMs.
 func (emu *emulator) askWave(wav upkeep.Wave) {
 	emu.wave = &wav
-	emu.tell(WaveAsked{Wave: wav})
+	emu.tell(WaveRequested{Wave: wav})
 }
 
 // end ends a life without a trace, as an order for its machine does.
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -102,9 +102,9 @@
 // AdvisorSlotsChanged says how many questions may be put to the advisor at once.
 type AdvisorSlotsChanged struct{ Count int }
 
-// WaveAsked brings a wave of upkeep, with the machines whose upkeep a former
+// WaveRequested brings a wave of upkeep, with the machines whose upkeep a former
 // dispatcher began.
-type WaveAsked struct {
+type WaveRequested struct {
 	Wave  upkeep.Wave
 	Begun []string
 }
@@ -145,7 +145,7 @@
 func (Committed) event()           {}
 func (AdvisorAnswered) event()     {}
 func (AdvisorSlotsChanged) event() {}
-func (WaveAsked) event()           {}
+func (WaveRequested) event()       {}
 func (WaveWithdrawn) event()       {}
 func (MachineAnswered) event()     {}
 func (EndedListed) event()         {}
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -57,7 +57,7 @@
 		sta.machinesListed(evt)
 	case Committed:
 		sta.committed(evt)
-	case WaveAsked:
+	case WaveRequested:
 		sta.waveAsked(evt)
 	case WaveWithdrawn:
 		delete(sta.waves, evt.Number)
--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -20,7 +20,7 @@
 )
 
 // waveAsked takes in a wave.
-func (sta *State) waveAsked(evt WaveAsked) {
+func (sta *State) waveAsked(evt WaveRequested) {
 	if wav := sta.waves[evt.Wave.Number]; wav != nil {
 		return
 	}
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -321,7 +321,7 @@
 					return
 				}
 				asked[number] = true
-				dis.send(ctx, scheduler.WaveAsked{Wave: wav, Begun: begun})
+				dis.send(ctx, scheduler.WaveRequested{Wave: wav, Begun: begun})
 			}
 		}
 		for number := range asked {
