--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -329,7 +329,7 @@
 		emu.tell(WaveRequested{Wave: *emu.wave, Begun: emu.begun})
 	}
 	emu.tell(Loaded{})
-	var ended EndedListed
+	var ended EndedJobsListed
 	for _, itm := range emu.store.sorted(job.EndedPrefix) {
 		out, err := job.Unmarshal[job.Outcome](itm.Value)
 		if err != nil {
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -120,8 +120,8 @@
 	Result worker.MachineResult
 }
 
-// EndedListed brings the jobs that are stored as ended.
-type EndedListed struct{ Jobs []EndedJob }
+// EndedJobsListed brings the jobs that are stored as ended.
+type EndedJobsListed struct{ Jobs []EndedJob }
 
 // ViewConfirmed says that all changes of jobs up to a time have been brought.
 type ViewConfirmed struct{ At time.Time }
@@ -148,6 +148,6 @@
 func (WaveRequested) event()       {}
 func (WaveWithdrawn) event()       {}
 func (MachineAnswered) event()     {}
-func (EndedListed) event()         {}
+func (EndedJobsListed) event()     {}
 func (ViewConfirmed) event()       {}
 func (Loaded) event()              {}
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -75,7 +75,7 @@
 		sta.advised(evt)
 	case AdvisorSlotsChanged:
 		sta.askers = evt.Count
-	case EndedListed:
+	case EndedJobsListed:
 		sta.endedListed(evt)
 	case ViewConfirmed:
 		sta.confirmed = evt.At
--- a/internal/core/scheduler/retire.go
+++ b/internal/core/scheduler/retire.go
@@ -27,7 +27,7 @@
 }
 
 // endedListed takes in the jobs that former dispatchers stored as ended.
-func (sta *State) endedListed(evt EndedListed) {
+func (sta *State) endedListed(evt EndedJobsListed) {
 	sta.retiring = append(sta.retiring, evt.Jobs...)
 	slices.SortStableFunc(sta.retiring, func(one, oth EndedJob) int { return one.At.Compare(oth.At) })
 }
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -175,7 +175,7 @@
 	if !ok {
 		return
 	}
-	var evt scheduler.EndedListed
+	var evt scheduler.EndedJobsListed
 	for _, itm := range items {
 		out, err := job.Unmarshal[job.Outcome](itm.Value)
 		if err != nil {
