--- a/internal/core/scheduler/attempts_test.go
+++ b/internal/core/scheduler/attempts_test.go
@@ -35,7 +35,7 @@
 	name := job.Task{Job: spe.ID}
 	reduce := func(events ...Event) []Effect {
 		now = now.Add(10 * time.Millisecond)
-		return sta.Reduce(now, append(events, ViewConfirmed{At: now}))
+		return sta.Reduce(now, append(events, JobWatchProgressed{At: now}))
 	}
 	reduce(CatalogChanged{cat}, VMRegistered{one}, VMRegistered{oth}, JobAccepted{Spec: spe, Revision: 5}, Loaded{})
 	reduce(MachinesListed{Asked: now, Machines: []worker.Machine{
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -272,7 +272,7 @@
 	events := emu.inbox
 	emu.inbox = nil
 	if !emu.blind {
-		events = append(events, ViewConfirmed{At: emu.now})
+		events = append(events, JobWatchProgressed{At: emu.now})
 	}
 	for _, eff := range emu.sched.Reduce(emu.now, events) {
 		emu.perform(eff)
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -123,8 +123,8 @@
 // EndedJobsListed brings the jobs that are stored as ended.
 type EndedJobsListed struct{ Jobs []EndedJob }
 
-// ViewConfirmed says that all changes of jobs up to a time have been brought.
-type ViewConfirmed struct{ At time.Time }
+// JobWatchProgressed says that all changes of jobs up to a time have been brought.
+type JobWatchProgressed struct{ At time.Time }
 
 // Loaded says that all jobs, VMs and waves that were stored when the duty was
 // taken have been brought.
@@ -149,5 +149,5 @@
 func (WaveWithdrawn) event()       {}
 func (MachineAnswered) event()     {}
 func (EndedJobsListed) event()     {}
-func (ViewConfirmed) event()       {}
+func (JobWatchProgressed) event()  {}
 func (Loaded) event()              {}
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -77,7 +77,7 @@
 		sta.askers = evt.Count
 	case EndedJobsListed:
 		sta.endedListed(evt)
-	case ViewConfirmed:
+	case JobWatchProgressed:
 		sta.confirmed = evt.At
 	default:
 		sta.handleAnswer(evt)
--- a/internal/core/scheduler/stale_test.go
+++ b/internal/core/scheduler/stale_test.go
@@ -24,7 +24,7 @@
 	var starts []Start
 	reduce := func(events ...Event) {
 		now = now.Add(10 * time.Millisecond)
-		for _, eff := range sta.Reduce(now, append(events, ViewConfirmed{At: now})) {
+		for _, eff := range sta.Reduce(now, append(events, JobWatchProgressed{At: now})) {
 			if start, ok := eff.(Start); ok {
 				starts = append(starts, start)
 			}
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -159,7 +159,7 @@
 	}
 	go dis.follow(ctx, platform.VMPrefix, dis.vmsReset(ctx), func(cha kv.Change) { dis.vmChanged(ctx, cha) }, nil)
 	go dis.follow(ctx, job.LivePrefix, dis.jobsReset(ctx, progress), func(cha kv.Change) { dis.jobChanged(ctx, cha, nil) },
-		func(sent time.Time) { dis.send(ctx, scheduler.ViewConfirmed{At: sent}) })
+		func(sent time.Time) { dis.send(ctx, scheduler.JobWatchProgressed{At: sent}) })
 	go dis.bringEnded(ctx)
 	dis.followOperator(ctx, sna)
 }
