--- a/internal/core/scheduler/attempts_test.go
+++ b/internal/core/scheduler/attempts_test.go
@@ -38,7 +38,7 @@
 		return sta.Reduce(now, append(events, JobWatchProgressed{At: now}))
 	}
 	reduce(CatalogChanged{cat}, VMRegistered{one}, VMRegistered{oth}, JobAccepted{Spec: spe, Revision: 5}, Loaded{})
-	reduce(MachinesListed{Asked: now, Machines: []worker.Machine{
+	reduce(MachinesListed{RequestedAt: now, Machines: []worker.Machine{
 		{Name: "m-1", Pool: "lots", State: worker.MachineUp, VM: one.ID}, {Name: "m-2", Pool: "lots", State: worker.MachineUp, VM: oth.ID},
 	}})
 	effects := reduce(ended(oth, now, worker.End{Number: 1, Task: name, Run: 2, Kind: worker.EndFailed}))
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -393,7 +393,7 @@
 		emu.performAdvise(eff)
 	case ListMachines:
 		asked := emu.now
-		emu.after(emulatedLatency, func() { emu.tell(MachinesListed{Asked: asked, Machines: emu.machines()}) })
+		emu.after(emulatedLatency, func() { emu.tell(MachinesListed{RequestedAt: asked, Machines: emu.machines()}) })
 	case Upkeep:
 		emu.performUpkeep(eff)
 	case Move:
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -44,9 +44,9 @@
 
 // MachinesListed brings the list of machines.
 type MachinesListed struct {
-	// Asked is when the list was asked for.
-	Asked    time.Time
-	Machines []worker.Machine
+	// RequestedAt is when the list was asked for.
+	RequestedAt time.Time
+	Machines    []worker.Machine
 }
 
 // PollAnswered answers a Look.
--- a/internal/core/scheduler/stale_test.go
+++ b/internal/core/scheduler/stale_test.go
@@ -38,7 +38,7 @@
 		return PollAnswered{VM: vm, Sent: now.Add(time.Millisecond), Report: rep}
 	}
 	reduce(CatalogChanged{testCatalog()}, VMRegistered{one}, VMRegistered{oth}, JobAccepted{Spec: spe, Revision: 5}, Loaded{})
-	reduce(MachinesListed{Asked: now, Machines: []worker.Machine{
+	reduce(MachinesListed{RequestedAt: now, Machines: []worker.Machine{
 		{Name: "m-1", Pool: "lots", State: worker.MachineUp, VM: one.ID}, {Name: "m-2", Pool: "lots", State: worker.MachineUp, VM: oth.ID},
 	}})
 	reduce(lists(oth, 5))
--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -298,7 +298,7 @@
 	if evt.Machines == nil {
 		return
 	}
-	sta.machines.listed = evt.Asked
+	sta.machines.listed = evt.RequestedAt
 	sta.machines.byName = make(map[string]worker.Machine, len(evt.Machines))
 	sta.machines.byVM = make(map[string]string, len(evt.Machines))
 	for _, mac := range evt.Machines {
@@ -309,7 +309,7 @@
 	}
 	sta.machineNames = slices.Sorted(maps.Keys(sta.machines.byName))
 	for _, hos := range slices.Clone(sta.hostList) {
-		sta.checkListed(hos, evt.Asked)
+		sta.checkListed(hos, evt.RequestedAt)
 	}
 }
 
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -148,7 +148,7 @@
 		dis.nod.log.Event("machines_not_listed", decisionlog.Fields{"error": err.Error()})
 		all = nil
 	}
-	dis.send(ctx, scheduler.MachinesListed{Asked: now, Machines: all})
+	dis.send(ctx, scheduler.MachinesListed{RequestedAt: now, Machines: all})
 }
 
 // errNotHeld means that an order was not sent, for the duty was not sure.
