--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -138,7 +138,7 @@
 		adv := &que.stage.advice
 		adv.busy, adv.askedAt = true, sta.now
 		liv := que.stage.live
-		sta.emit(QueryAdvisor{Job: liv.spec.ID, Occurrence: que.stage.occ, Step: que.stage.index, VMs: que.vms, Decision: sta.adviceTime(liv.spec.Queue)})
+		sta.emit(QueryAdvisor{Job: liv.spec.ID, Occurrence: que.stage.occ, Step: que.stage.index, VMs: que.vms, Latency: sta.adviceTime(liv.spec.Queue)})
 	}
 	sta.questions = nil
 }
--- a/internal/core/scheduler/effect.go
+++ b/internal/core/scheduler/effect.go
@@ -59,8 +59,8 @@
 	Occurrence int
 	Step       int
 	VMs        []string
-	// Decision is how long the advisor takes.
-	Decision time.Duration
+	// Latency is how long the advisor takes.
+	Latency time.Duration
 }
 
 // ListMachines asks for the list of machines.
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -129,7 +129,7 @@
 
 func (dis *dispatcher) advise(ctx context.Context, eff scheduler.QueryAdvisor) {
 	evt := scheduler.AdvisorAnswered{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs}
-	ask, cancel := context.WithTimeout(ctx, advisory.Timeout(eff.Decision))
+	ask, cancel := context.WithTimeout(ctx, advisory.Timeout(eff.Latency))
 	defer cancel()
 	ans, err := dis.askers.Ask(ask, advisory.Question{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs})
 	if err != nil {
