--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -116,7 +116,7 @@
 	sta.fleetAt = sta.now
 	pools := sta.fleetPools()
 	sta.notePools(pools)
-	moves := rebalance.Plan(pools, int(math.Ceil(sta.opt.MovesPerSecond*movesShare*fleetEvery.Seconds())), sta.spareMachines(pools), func(machine, pool string) bool { return !sta.barred[machine+" "+pool] })
+	moves := rebalance.Plan(pools, int(math.Ceil(sta.opt.MachineOrdersPerSecond*movesShare*fleetEvery.Seconds())), sta.spareMachines(pools), func(machine, pool string) bool { return !sta.barred[machine+" "+pool] })
 	for _, mov := range moves {
 		mac := sta.machines.byName[mov.Machine]
 		if hos := sta.hosts[mac.VM]; hos != nil {
--- a/internal/core/scheduler/schedule_test.go
+++ b/internal/core/scheduler/schedule_test.go
@@ -34,7 +34,7 @@
 func testOptions() Options {
 	return Options{
 		Lease: 4 * time.Second, StopTime: 400 * time.Millisecond,
-		UpkeepTime: 2 * time.Second, MovesPerSecond: 64, ShareWindow: 5 * time.Second,
+		UpkeepTime: 2 * time.Second, MachineOrdersPerSecond: 64, ShareWindow: 5 * time.Second,
 	}
 }
 
--- a/internal/core/scheduler/state.go
+++ b/internal/core/scheduler/state.go
@@ -31,8 +31,8 @@
 	ShareWindow time.Duration
 	// KeepEnded is how long callers may ask for a job that has ended.
 	KeepEnded time.Duration
-	// MovesPerSecond is how many orders for machines the platform takes.
-	MovesPerSecond float64
+	// MachineOrdersPerSecond is how many orders for machines the platform takes.
+	MachineOrdersPerSecond float64
 }
 
 // runsPerTerm is how far the run numbers of two terms are apart at least, so
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -63,9 +63,9 @@
 		Since: cur.Since, Revision: cur.Revision, Term: cur.Holder.Term,
 		Lease:    min(maxLease, time.Duration(float64(bnd.MaxHold)*leaseShare)),
 		StopTime: bnd.StopTime, UpkeepTime: bnd.Upkeep,
-		KeepEnded:      bnd.KeepEnded,
-		ShareWindow:    bnd.ShareWindow,
-		MovesPerSecond: set.MachineOrders,
+		KeepEnded:              bnd.KeepEnded,
+		ShareWindow:            bnd.ShareWindow,
+		MachineOrdersPerSecond: set.MachineOrders,
 	})
 	go dis.bring(ctx)
 	go dis.followAskers(ctx)
