--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -38,11 +38,11 @@
 
 // register takes in a VM's registration.
 func (sta *State) register(one worker.VM) {
-	if old, ok := sta.lost.get(one.ID); ok && old.SameLife(one) {
+	if old, ok := sta.lost.get(one.ID); ok && old.SameIncarnation(one) {
 		return
 	}
 	hos := sta.hosts[one.ID]
-	if hos != nil && hos.vm.SameLife(one) {
+	if hos != nil && hos.vm.SameIncarnation(one) {
 		if hos.vm.Leaving != one.Leaving {
 			sta.note("vm_leaving", "", map[string]any{"vm": one.ID, "leaving": one.Leaving})
 		}
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -88,19 +88,19 @@
 func (sta *State) handleAnswer(evt Event) {
 	switch evt := evt.(type) {
 	case Looked:
-		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameLife(evt.VM) {
+		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameIncarnation(evt.VM) {
 			sta.looked(hos, evt)
 		}
 	case StartAnswered:
-		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameLife(evt.VM) {
+		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameIncarnation(evt.VM) {
 			sta.startAnswered(hos, evt)
 		}
 	case StopAnswered:
-		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameLife(evt.VM) {
+		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameIncarnation(evt.VM) {
 			sta.stopAnswered(hos, evt)
 		}
 	case PaceAnswered:
-		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameLife(evt.VM) {
+		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameIncarnation(evt.VM) {
 			sta.paceAnswered(hos, evt)
 		}
 	default:
--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -30,8 +30,8 @@
 	Cold time.Duration
 }
 
-// SameLife reports whether two registrations are of the same life.
-func (one VM) SameLife(oth VM) bool {
+// SameIncarnation reports whether two registrations are of the same life.
+func (one VM) SameIncarnation(oth VM) bool {
 	return one.ID == oth.ID && (one.Born == oth.Born || one.Born == 0 || oth.Born == 0) && one.Address == oth.Address
 }
 
