--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -535,7 +535,7 @@
 			return 0, false
 		}
 		if vm.vm.ID != one.ID {
-			return worker.ResultOtherLife, true
+			return worker.ResultOtherIncarnation, true
 		}
 		return carryOut(vm, term), true
 	}
@@ -791,7 +791,7 @@
 			return
 		}
 		if vm.vm.ID != eff.VM.ID {
-			answer(worker.ResultOtherLife, worker.Report{})
+			answer(worker.ResultOtherIncarnation, worker.Report{})
 			return
 		}
 		if term < vm.fence {
--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -211,7 +211,7 @@
 		sta.report(hos, evt)
 	case worker.ResultFenced:
 		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
-	case worker.ResultOtherLife:
+	case worker.ResultOtherIncarnation:
 		sta.lose(hos, "another life answers at its address")
 	default:
 		hos.failedLooks++
--- a/internal/core/scheduler/orders.go
+++ b/internal/core/scheduler/orders.go
@@ -58,7 +58,7 @@
 		}
 	case worker.ResultFenced:
 		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
-	case worker.ResultOtherLife:
+	case worker.ResultOtherIncarnation:
 		sta.lose(hos, "another life answers at its address")
 	}
 }
@@ -90,7 +90,7 @@
 	switch evt.Result {
 	case worker.ResultFenced:
 		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
-	case worker.ResultOtherLife:
+	case worker.ResultOtherIncarnation:
 		sta.lose(hos, "another life answers at its address")
 	}
 }
@@ -102,7 +102,7 @@
 	case worker.ResultFenced:
 		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
 		return
-	case worker.ResultOtherLife:
+	case worker.ResultOtherIncarnation:
 		sta.lose(hos, "another life answers at its address")
 	default:
 		sta.drop(hos, hel)
--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -115,8 +115,8 @@
 	ResultNoTicket
 	// ResultUnhealthy means that the VM refused and did nothing.
 	ResultUnhealthy
-	// ResultOtherLife means that another life of the VM answered.
-	ResultOtherLife
+	// ResultOtherIncarnation means that another life of the VM answered.
+	ResultOtherIncarnation
 	// ResultInvalid means that the order was malformed.
 	ResultInvalid
 )
