--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -26,8 +26,8 @@
 	Capacity job.Size
 	// Leaving says that the VM shuts down soon and takes no new work.
 	Leaving bool
-	// Cold is how much longer the VM is slow after its start.
-	Cold time.Duration
+	// ColdRemaining is how much longer the VM is slow after its start.
+	ColdRemaining time.Duration
 }
 
 // SameIncarnation reports whether two registrations are of the same life.
