--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -571,7 +571,7 @@
 		}
 		vm.lapsed = emu.now
 		for _, name := range vm.sorted() {
-			emu.endOn(vm, name, vm.runs[name], worker.EndLapsed)
+			emu.endOn(vm, name, vm.runs[name], worker.EndLeaseExpired)
 		}
 	})
 }
--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -65,7 +65,7 @@
 	EndDone    EndKind = "done"
 	EndFailed  EndKind = "failed"
 	EndStopped EndKind = "stopped"
-	EndLapsed  EndKind = "lapsed"
+	EndLeaseExpired  EndKind = "lapsed"
 	// EndBroken means that another member of the gang ended.
 	EndBroken EndKind = "broken"
 	// EndAlone means that the other members of the gang didn't come in time.
