--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -666,7 +666,7 @@
 // endGangOf ends the other members of a gang of which one has ended.
 func (emu *emulator) endGangOf(name job.Task, run, count int, kind worker.EndKind) {
 	if kind != worker.EndDone {
-		kind = worker.EndBroken
+		kind = worker.EndGangBroken
 	}
 	members := emu.gang(name, run, count)
 	for i := range count {
--- a/internal/core/scheduler/gang_test.go
+++ b/internal/core/scheduler/gang_test.go
@@ -123,7 +123,7 @@
 	assert.Equal(t, len(starts), 2)
 	reduce(Looked{VM: one, Sent: now.Add(time.Millisecond), Report: worker.Report{Born: 1, Clock: time.Second, Ends: []worker.End{
 		{Number: 1, Task: name, Run: 1, Kind: worker.EndStopped, Checkpoint: "late"},
-		{Number: 2, Task: oth, Run: 1, Kind: worker.EndBroken, Checkpoint: "early"},
+		{Number: 2, Task: oth, Run: 1, Kind: worker.EndGangBroken, Checkpoint: "early"},
 	}}})
 	for range 100 {
 		reduce(Tick{})
--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -66,8 +66,8 @@
 	EndFailed  EndKind = "failed"
 	EndStopped EndKind = "stopped"
 	EndLeaseExpired  EndKind = "lapsed"
-	// EndBroken means that another member of the gang ended.
-	EndBroken EndKind = "broken"
+	// EndGangBroken means that another member of the gang ended.
+	EndGangBroken EndKind = "broken"
 	// EndAlone means that the other members of the gang didn't come in time.
 	EndAlone EndKind = "alone"
 )
