--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -628,7 +628,7 @@
 	incomplete := func() bool { return ste.Gang && len(emu.gang(ord.Task, ord.Run, ste.Count)) < ste.Count }
 	emu.after(emulatedGangTimeout, func() {
 		if runs() && incomplete() {
-			emu.endOn(vm, ord.Task, run, worker.EndAlone)
+			emu.endOn(vm, ord.Task, run, worker.EndGangIncomplete)
 		}
 	})
 	emu.after(emu.duration(ord.Task, ste), func() {
--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -68,8 +68,8 @@
 	EndLeaseExpired  EndKind = "lapsed"
 	// EndGangBroken means that another member of the gang ended.
 	EndGangBroken EndKind = "broken"
-	// EndAlone means that the other members of the gang didn't come in time.
-	EndAlone EndKind = "alone"
+	// EndGangIncomplete means that the other members of the gang didn't come in time.
+	EndGangIncomplete EndKind = "alone"
 )
 
 // End is the end of a run that a VM lists until it is acknowledged.
