--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -112,8 +112,8 @@
 	Interval time.Duration `msgpack:"iv,omitempty"`
 }
 
-// Runs returns how often the steps run, at least 1.
-func (spe Spec) Runs() int { return max(1, spe.Occurrences) }
+// OccurrenceCount returns how often the steps run, at least 1.
+func (spe Spec) OccurrenceCount() int { return max(1, spe.Occurrences) }
 
 // Due returns when an occurrence may start.
 func (spe Spec) Due(occ int) time.Time {
@@ -190,8 +190,8 @@
 		}
 		all += ste.Count
 	}
-	if all*spe.Runs() > MaxAllTasks {
-		return fmt.Errorf("job %s has %d tasks in %d occurrences, more than %d together", spe.ID, all, spe.Runs(), MaxAllTasks)
+	if all*spe.OccurrenceCount() > MaxAllTasks {
+		return fmt.Errorf("job %s has %d tasks in %d occurrences, more than %d together", spe.ID, all, spe.OccurrenceCount(), MaxAllTasks)
 	}
 	return nil
 }
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -913,7 +913,7 @@
 	}
 	worst := 0
 	spe := emu.specs[id]
-	for occ := range spe.Runs() {
+	for occ := range spe.OccurrenceCount() {
 		for i, ste := range spe.Steps {
 			failed := 0
 			for j := range ste.Count {
--- a/internal/core/scheduler/jobs.go
+++ b/internal/core/scheduler/jobs.go
@@ -15,7 +15,7 @@
 		return
 	}
 	liv := &live{
-		spec: evt.Spec, revision: evt.Revision, occsLeft: evt.Spec.Runs(),
+		spec: evt.Spec, revision: evt.Revision, occsLeft: evt.Spec.OccurrenceCount(),
 		progressRev: evt.ProgressRevision, work: evt.Spec.Work(),
 		restored: evt.Revision <= sta.opt.Revision,
 	}
@@ -82,7 +82,7 @@
 // dueOccurrences opens occurrences whose time has come.
 func (sta *State) dueOccurrences() {
 	for _, liv := range sta.jobList {
-		for !liv.cancelled && liv.final == "" && len(liv.occs) < liv.spec.Runs() && !liv.spec.Due(len(liv.occs)).After(sta.now) {
+		for !liv.cancelled && liv.final == "" && len(liv.occs) < liv.spec.OccurrenceCount() && !liv.spec.Due(len(liv.occs)).After(sta.now) {
 			sta.openOccurrence(liv)
 		}
 	}
@@ -90,7 +90,7 @@
 
 // restore takes in what a former dispatcher stored of a task.
 func (sta *State) restore(liv *live, rec job.TaskRecord) {
-	if rec.Occurrence >= liv.spec.Runs() || rec.Step >= len(liv.spec.Steps) || rec.Index >= liv.spec.Steps[rec.Step].Count {
+	if rec.Occurrence >= liv.spec.OccurrenceCount() || rec.Step >= len(liv.spec.Steps) || rec.Index >= liv.spec.Steps[rec.Step].Count {
 		sta.note("progress_ignored", liv.spec.ID, map[string]any{"occurrence": rec.Occurrence, "step": rec.Step, "index": rec.Index})
 		return
 	}
