--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -169,8 +169,8 @@
 	MaxTasks = 10_000
 	// MaxSteps bounds the steps.
 	MaxSteps = 1000
-	// MaxRuns bounds the occurrences.
-	MaxRuns = 10_000
+	// MaxOccurrences bounds the occurrences.
+	MaxOccurrences = 10_000
 	// MaxAllTasks bounds the tasks of all steps and occurrences.
 	MaxAllTasks = 50_000
 )
@@ -180,8 +180,8 @@
 	if len(spe.Steps) == 0 || len(spe.Steps) > MaxSteps {
 		return fmt.Errorf("job %s has %d steps, not 1 to %d", spe.ID, len(spe.Steps), MaxSteps)
 	}
-	if spe.Occurrences < 0 || spe.Occurrences > MaxRuns || spe.Interval < 0 {
-		return fmt.Errorf("job %s has %d occurrences every %v, not up to %d", spe.ID, spe.Occurrences, spe.Interval, MaxRuns)
+	if spe.Occurrences < 0 || spe.Occurrences > MaxOccurrences || spe.Interval < 0 {
+		return fmt.Errorf("job %s has %d occurrences every %v, not up to %d", spe.ID, spe.Occurrences, spe.Interval, MaxOccurrences)
 	}
 	all := 0
 	for i, ste := range spe.Steps {
--- a/internal/core/job/job_test.go
+++ b/internal/core/job/job_test.go
@@ -21,7 +21,7 @@
 		{"too many steps", Spec{Steps: make([]Step, MaxSteps+1)}, "has 1001 steps"},
 		{"no tasks", Spec{Steps: []Step{{}}}, "step 0 has 0 tasks"},
 		{"too many tasks", Spec{Steps: []Step{{Count: MaxTasks + 1}}}, "step 0 has 10001 tasks"},
-		{"too many occurrences", Spec{Steps: []Step{one}, Occurrences: MaxRuns + 1}, "10001 occurrences"},
+		{"too many occurrences", Spec{Steps: []Step{one}, Occurrences: MaxOccurrences + 1}, "10001 occurrences"},
 		{"too many tasks in all occurrences", Spec{Steps: []Step{{Count: 100}}, Occurrences: 1000}, "100 tasks in 1000 occurrences"},
 		{"occurrences backwards", Spec{Steps: []Step{one}, Occurrences: 2, Interval: -time.Second}, "every -1s"},
 		{"negative size", Spec{Steps: []Step{{Count: 1, Size: Size{Memory: -1}}}}, "negative size"},
