--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -171,8 +171,8 @@
 	MaxSteps = 1000
 	// MaxOccurrences bounds the occurrences.
 	MaxOccurrences = 10_000
-	// MaxAllTasks bounds the tasks of all steps and occurrences.
-	MaxAllTasks = 50_000
+	// MaxTotalTasks bounds the tasks of all steps and occurrences.
+	MaxTotalTasks = 50_000
 )
 
 // Check returns what is wrong with a job.
@@ -190,8 +190,8 @@
 		}
 		all += ste.Count
 	}
-	if all*spe.OccurrenceCount() > MaxAllTasks {
-		return fmt.Errorf("job %s has %d tasks in %d occurrences, more than %d together", spe.ID, all, spe.OccurrenceCount(), MaxAllTasks)
+	if all*spe.OccurrenceCount() > MaxTotalTasks {
+		return fmt.Errorf("job %s has %d tasks in %d occurrences, more than %d together", spe.ID, all, spe.OccurrenceCount(), MaxTotalTasks)
 	}
 	return nil
 }
