--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -123,8 +123,8 @@
 	return spe.FirstDue.Add(time.Duration(occ) * spe.Interval)
 }
 
-// Lasts reports whether the job runs until it is cancelled.
-func (spe Spec) Lasts() bool {
+// IsLongRunning reports whether the job runs until it is cancelled.
+func (spe Spec) IsLongRunning() bool {
 	for _, ste := range spe.Steps {
 		if ste.LongRunning {
 			return true
--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -90,7 +90,7 @@
 
 // arrive counts a job that was taken in towards its pool's demand.
 func (sta *State) arrive(liv *live) {
-	if liv.spec.Lasts() || liv.restored {
+	if liv.spec.IsLongRunning() || liv.restored {
 		return
 	}
 	sta.demandOf(sta.poolOf(liv)).arrived += liv.work * sta.learned[liv.spec.Queue].factor()
@@ -268,7 +268,7 @@
 	sums := map[string]float64{}
 	usable := map[string]float64{}
 	for _, liv := range sta.jobList {
-		if liv.final != "" || liv.spec.Lasts() {
+		if liv.final != "" || liv.spec.IsLongRunning() {
 			continue
 		}
 		factor := sta.learned[liv.spec.Queue].factor()
--- a/internal/core/scheduler/jobs.go
+++ b/internal/core/scheduler/jobs.go
@@ -36,7 +36,7 @@
 // countAllowance counts a job against what its account is entitled to.
 func (sta *State) countAllowance(liv *live) {
 	acc := sta.catalog.Account(liv.spec.Account)
-	if acc == nil || liv.spec.Lasts() || liv.restored {
+	if acc == nil || liv.spec.IsLongRunning() || liv.restored {
 		return
 	}
 	buc, within := sta.allowances[acc.Name].WithJob(sta.now, acc.Weight, sta.opt.ShareWindow)
--- a/internal/core/scheduler/load.go
+++ b/internal/core/scheduler/load.go
@@ -70,7 +70,7 @@
 	work, cores := map[string]float64{}, map[string]float64{}
 	allWork, allCores := 0.0, 0.0
 	for _, liv := range sta.jobList {
-		if liv.final != "" || liv.spec.Lasts() {
+		if liv.final != "" || liv.spec.IsLongRunning() {
 			continue
 		}
 		factor := sta.learned[liv.spec.Queue].factor()
@@ -133,7 +133,7 @@
 // does. A job is not taken if what was accepted before takes so long that the job
 // would be worthless, or if no machine can hold one of its tasks.
 func (loa Load) Admit(que *catalog.Queue, spe job.Spec) (after time.Duration, reason string) {
-	if spe.Lasts() || spe.Occurrences > 0 {
+	if spe.IsLongRunning() || spe.Occurrences > 0 {
 		return 0, ""
 	}
 	for _, ste := range spe.Steps {
