--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -142,9 +142,9 @@
 	return sum
 }
 
-// Chain returns the longest chain of those steps that count, each as long as span
+// CriticalPath returns the longest chain of those steps that count, each as long as span
 // says. A nil function counts all steps, or takes the estimates.
-func (spe Spec) Chain(counts func(step int) bool, span func(ste Step) time.Duration) (longest time.Duration) {
+func (spe Spec) CriticalPath(counts func(step int) bool, span func(ste Step) time.Duration) (longest time.Duration) {
 	ends := make([]time.Duration, len(spe.Steps))
 	for i, ste := range spe.Steps {
 		for _, dep := range ste.After {
--- a/internal/core/scheduler/jobs.go
+++ b/internal/core/scheduler/jobs.go
@@ -58,7 +58,7 @@
 // of the queue's estimates.
 func (sta *State) chain(spe job.Spec, counts func(step int) bool) time.Duration {
 	factor := sta.learned[spe.Queue].factor()
-	return spe.Chain(counts, func(ste job.Step) time.Duration {
+	return spe.CriticalPath(counts, func(ste job.Step) time.Duration {
 		return time.Duration(float64(ste.Estimate)*factor) + sta.adviceTime(spe.Queue)
 	})
 }
--- a/internal/core/scheduler/load.go
+++ b/internal/core/scheduler/load.go
@@ -142,7 +142,7 @@
 			return unfitRetry, "no machine can hold a task of the job"
 		}
 	}
-	objective := que.Objective(spe.Chain(nil, nil))
+	objective := que.Objective(spe.CriticalPath(nil, nil))
 	if wait := loa.Backlog[que.Name]; wait > worthlessFactor*objective {
 		return wait - objective, "the backlog is too long for the job to be in time"
 	}
