--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -85,8 +85,8 @@
 	MayMiss int `msgpack:"mm,omitempty"`
 }
 
-// Room returns what a task takes of a VM's capacity.
-func (ste Step) Room() Size {
+// Reservation returns what a task takes of a VM's capacity.
+func (ste Step) Reservation() Size {
 	siz := ste.Size
 	if ste.Fills {
 		siz.CPU = 0
--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -82,7 +82,7 @@
 	if sta.adviceFor(stg.live.spec.Queue) == nil || adv.busy || sta.now.Sub(adv.askedAt) < adviceRetry {
 		return
 	}
-	room := stg.step.Room()
+	room := stg.step.Reservation()
 	var first, later []string
 	for _, hos := range hosts {
 		switch {
--- a/internal/core/scheduler/assign.go
+++ b/internal/core/scheduler/assign.go
@@ -183,7 +183,7 @@
 // others of the stage that are to start there.
 func (sta *State) allows(stg *stage, hos *host, planned int) bool {
 	ste := stg.step
-	if !ste.Room().Times(planned + 1).Fits(hos.vm.Capacity.Minus(hos.used)) {
+	if !ste.Reservation().Times(planned + 1).Fits(hos.vm.Capacity.Minus(hos.used)) {
 		return false
 	}
 	if ste.Label != "" && !hos.vm.HasLabel(ste.Label) {
@@ -250,7 +250,7 @@
 		}
 	}
 	if cpu := hos.vm.Capacity.CPU; cpu > 0 {
-		sco.free = float64(cpu-hos.used.CPU-ste.Room().CPU*int64(planned+1)) / float64(cpu)
+		sco.free = float64(cpu-hos.used.CPU-ste.Reservation().CPU*int64(planned+1)) / float64(cpu)
 	}
 	return sco
 }
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -597,7 +597,7 @@
 	for _, run := range vm.runs {
 		used = used.Plus(run.size)
 	}
-	if !used.Plus(ste.Room()).Fits(vm.vm.Capacity) {
+	if !used.Plus(ste.Reservation()).Fits(vm.vm.Capacity) {
 		if emu.catalog.Pools[0].GuardsRoom {
 			return worker.ResultNoRoom
 		}
@@ -608,7 +608,7 @@
 		return worker.ResultNoTicket
 	}
 	emu.checkStart(vm, ord, spe)
-	run := &emulatedRun{run: ord.Run, since: emu.now, size: ste.Room(), owner: spe.Account}
+	run := &emulatedRun{run: ord.Run, since: emu.now, size: ste.Reservation(), owner: spe.Account}
 	vm.runs[ord.Task] = run
 	emu.truthOf(ord.Task).running++
 	emu.truthOf(ord.Task).starts = append(emu.truthOf(ord.Task).starts, emu.now)
--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -279,7 +279,7 @@
 				stg := &occ.stages[i]
 				sum += stg.work(factor)
 				if stg.blockers == 0 {
-					usable[pool] += stg.step.Room().Cores() * float64(stg.left)
+					usable[pool] += stg.step.Reservation().Cores() * float64(stg.left)
 				}
 			}
 		}
@@ -297,7 +297,7 @@
 	sum := 0.0
 	for _, hel := range hos.list {
 		if hel.stage != nil && hel.stage.step.LongRunning {
-			sum += hel.stage.step.Room().Cores()
+			sum += hel.stage.step.Reservation().Cores()
 		}
 	}
 	return sum
--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -115,7 +115,7 @@
 func (sta *State) hold(hos *host, stg *stage, name job.Task, run int, state runState) *held {
 	hel := &held{task: name, run: run, state: state, since: sta.now, stage: stg, pace: pace.Full}
 	if stg != nil {
-		hel.room, hel.size, hel.owner = stg.step.Room(), stg.step.Size, stg.live.spec.Account
+		hel.room, hel.size, hel.owner = stg.step.Reservation(), stg.step.Size, stg.live.spec.Account
 		tas := &stg.tasks[name.Index]
 		tas.run = max(tas.run, run)
 		if tas.phase == phaseWaiting {
--- a/internal/core/scheduler/load.go
+++ b/internal/core/scheduler/load.go
@@ -137,7 +137,7 @@
 		return 0, ""
 	}
 	for _, ste := range spe.Steps {
-		fits := func(size job.Size) bool { return ste.Room().Fits(size) }
+		fits := func(size job.Size) bool { return ste.Reservation().Fits(size) }
 		if len(loa.Sizes) > 0 && !slices.ContainsFunc(loa.Sizes, fits) {
 			return unfitRetry, "no machine can hold a task of the job"
 		}
