--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -50,8 +50,8 @@
 // Pool is a group of VMs.
 type Pool struct {
 	Name string
-	// GuardsRoom says that its VMs reject tasks that don't fit.
-	GuardsRoom bool
+	// EnforcesCapacity says that its VMs reject tasks that don't fit.
+	EnforcesCapacity bool
 	// Standby VMs are off and cost nothing until they are moved elsewhere.
 	Standby bool
 	// HealthPath is where a VM answers whether it considers itself healthy.
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -598,7 +598,7 @@
 		used = used.Plus(run.size)
 	}
 	if !used.Plus(ste.Reservation()).Fits(vm.vm.Capacity) {
-		if emu.catalog.Pools[0].GuardsRoom {
+		if emu.catalog.Pools[0].EnforcesCapacity {
 			return worker.ResultNoRoom
 		}
 		emu.fail("%s run %d brings %s over its capacity", ord.Task, ord.Run, vm.vm.ID)
--- a/internal/core/scheduler/schedule_test.go
+++ b/internal/core/scheduler/schedule_test.go
@@ -26,7 +26,7 @@
 			{Name: "gate", Pool: "lots", MaxAttempts: 4, SlackFactor: 1.6, Target: 600 * time.Millisecond},
 			{Name: "settle", Pool: "lots", MaxAttempts: 3, SlackFactor: 2.2, Target: 2500 * time.Millisecond},
 		},
-		Pools:    []catalog.Pool{{Name: "lots", GuardsRoom: true}},
+		Pools:    []catalog.Pool{{Name: "lots", EnforcesCapacity: true}},
 		Accounts: []catalog.Account{{Name: "small", Cap: job.Size{CPU: 24_000}}, {Name: "large"}},
 	})
 }
@@ -52,7 +52,7 @@
 // quarter of a minute after it.
 func faultyDay(seed uint64) *emulator {
 	emu := newEmulator(seed, testCatalog())
-	emu.catalog.Pools[0].GuardsRoom = seed%3 != 0
+	emu.catalog.Pools[0].EnforcesCapacity = seed%3 != 0
 	emu.addVMs("lots", 9, 3, job.Size{CPU: 16_000, Memory: 32_768})
 	emu.loseAnswer, emu.loseOrder, emu.lateOrder = 0.03, 0.02, 0.03
 	emu.loseCommit, emu.lateCommit = 0.1, 0.1
