--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -140,7 +140,7 @@
 	return best
 }
 
-// Advised reports whether some queue's steps need advice.
-func (cat Catalog) Advised() bool {
+// NeedsAdvice reports whether some queue's steps need advice.
+func (cat Catalog) NeedsAdvice() bool {
 	return slices.ContainsFunc(cat.Queues, func(que Queue) bool { return que.Advice != nil })
 }
--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -219,7 +219,7 @@
 }
 
 // needsAdvice reports whether some queue needs advice.
-func (nod *Node) needsAdvice() bool { return nod.operator.current().Catalog.Advised() }
+func (nod *Node) needsAdvice() bool { return nod.operator.current().Catalog.NeedsAdvice() }
 
 func (nod *Node) serveMetrics(wri http.ResponseWriter, _ *http.Request) {
 	metrics.WriteOnce(nod.metrics, wri)
