--- a/internal/core/duty/duty.go
+++ b/internal/core/duty/duty.go
@@ -25,8 +25,8 @@
 	// TTL is how long a holder that vanished keeps the duty. The store grants
 	// no less than a second.
 	TTL = 1500 * time.Millisecond
-	// RenewEvery is the time between two renewals.
-	RenewEvery = 350 * time.Millisecond
+	// RenewInterval is the time between two renewals.
+	RenewInterval = 350 * time.Millisecond
 	// safety is how much sooner than the store a holder considers its lease
 	// ended, for clocks that differ by some percent.
 	safety = 100 * time.Millisecond
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -250,7 +250,7 @@
 func (kee *Keeper) renew(ctx context.Context, ten *Tenure) {
 	lease := ten.Current().Lease
 	for ctx.Err() == nil {
-		clock.Pause(ctx, duty.RenewEvery)
+		clock.Pause(ctx, duty.RenewInterval)
 		if ctx.Err() != nil {
 			return
 		}
