--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -24,7 +24,7 @@
 	if wav := sta.waves[evt.Wave.Number]; wav != nil {
 		return
 	}
-	plan := upkeep.Plan{Wave: evt.Wave, Asked: sta.now}
+	plan := upkeep.Plan{Wave: evt.Wave, RequestedAt: sta.now}
 	for _, name := range evt.Begun {
 		plan = plan.WithBegun(name)
 	}
@@ -53,7 +53,7 @@
 	exists := func(name string) bool { _, ok := sta.machines.byName[name]; return ok }
 	if wav.plan.Completed(exists) && len(wav.ordered) == 0 {
 		wav.completed = true
-		sta.note("wave_completed", "", map[string]any{"wave": number, "age_ms": sta.now.Sub(wav.plan.Asked).Milliseconds()})
+		sta.note("wave_completed", "", map[string]any{"wave": number, "age_ms": sta.now.Sub(wav.plan.RequestedAt).Milliseconds()})
 		sta.emit(SaveWave{Number: number, Begun: wav.begun(), Completed: true})
 		return
 	}
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -22,8 +22,8 @@
 // Plan is a wave with how far it has got. It is immutable.
 type Plan struct {
 	Wave Wave
-	// Asked is when this process learned of the wave.
-	Asked time.Time
+	// RequestedAt is when this process learned of the wave.
+	RequestedAt time.Time
 	// Begun holds the machines whose upkeep has begun.
 	Begun map[string]bool
 }
@@ -124,7 +124,7 @@
 	})
 	usable := time.Duration(float64(pla.Wave.Duration) * (1 - reserveShare))
 	rounds := (len(cans) + pla.Wave.Cap - 1) / pla.Wave.Cap
-	late := now.Add(time.Duration(rounds) * span).After(pla.Asked.Add(usable))
+	late := now.Add(time.Duration(rounds) * span).After(pla.RequestedAt.Add(usable))
 	var stp Step
 	for _, can := range cans {
 		if free == 0 {
--- a/internal/core/upkeep/wave_test.go
+++ b/internal/core/upkeep/wave_test.go
@@ -10,7 +10,7 @@
 var asked = time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 
 func plan(machineCap int) Plan {
-	return Plan{Wave: Wave{Number: 1, Machines: []string{"a", "b", "c"}, Duration: 20 * time.Second, Cap: machineCap}, Asked: asked}
+	return Plan{Wave: Wave{Number: 1, Machines: []string{"a", "b", "c"}, Duration: 20 * time.Second, Cap: machineCap}, RequestedAt: asked}
 }
 
 // TestIdleMachinesFirst takes the machines that run nothing before others, and
