--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -151,7 +151,7 @@
 		can.Up = false
 		return can
 	}
-	shares := map[*stage]upkeep.LastingShare{}
+	shares := map[*stage]upkeep.StepShare{}
 	var lasting []*stage
 	for _, hel := range hos.list {
 		stg := hel.stage
@@ -195,7 +195,7 @@
 		if stg == nil || !stg.step.LongRunning || done[stg] || !hel.working() {
 			continue
 		}
-		sha := upkeep.LastingShare{Here: hos.working(stg), Away: stg.away(hos), MayMiss: stg.step.MayMiss}
+		sha := upkeep.StepShare{Here: hos.working(stg), Away: stg.away(hos), MayMiss: stg.step.MayMiss}
 		if !sha.Relocates() {
 			continue
 		}
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -49,21 +49,21 @@
 	return true
 }
 
-// LastingShare is what a machine holds of a step that lasts.
-type LastingShare struct {
+// StepShare is what a machine holds of a step that lasts.
+type StepShare struct {
 	// Here is how many of the step's tasks at work the machine holds; Away is
 	// how many others are not at work; MayMiss is how many may be away.
 	Here, Away, MayMiss int
 }
 
 // Breaks reports whether ending the tasks here would leave too many away.
-func (sha LastingShare) Breaks() bool {
+func (sha StepShare) Breaks() bool {
 	return sha.MayMiss > 0 && sha.Here > 0 && sha.Away+sha.Here > sha.MayMiss
 }
 
 // Relocates reports whether one of the tasks here should go elsewhere first, for
 // the machine holds more of them than may be away at once.
-func (sha LastingShare) Relocates() bool {
+func (sha StepShare) Relocates() bool {
 	return sha.MayMiss > 0 && sha.Here > sha.MayMiss && sha.Away < sha.MayMiss
 }
 
@@ -77,7 +77,7 @@
 	// Left is the longest time that a task there is thought to need yet.
 	Left time.Duration
 	// Lasting holds its tasks that last, by step.
-	Lasting []LastingShare
+	Lasting []StepShare
 }
 
 // Breaks reports whether the machine's upkeep would leave too many tasks of a
@@ -135,7 +135,7 @@
 		}
 		free--
 		stp.Cordon = append(stp.Cordon, can.Machine)
-		if slices.ContainsFunc(can.Lasting, LastingShare.Relocates) {
+		if slices.ContainsFunc(can.Lasting, StepShare.Relocates) {
 			stp.Relocate = append(stp.Relocate, can.Machine)
 		}
 		if !can.Breaks() && (can.Lost == 0 || late) {
