--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -164,7 +164,7 @@
 				lasting = append(lasting, stg)
 			}
 			if hel.working() {
-				sha.Here++
+				sha.Local++
 			}
 			shares[stg] = sha
 			continue
@@ -195,7 +195,7 @@
 		if stg == nil || !stg.step.LongRunning || done[stg] || !hel.working() {
 			continue
 		}
-		sha := upkeep.StepShare{Here: hos.working(stg), Away: stg.away(hos), MayMiss: stg.step.MayMiss}
+		sha := upkeep.StepShare{Local: hos.working(stg), Away: stg.away(hos), MayMiss: stg.step.MayMiss}
 		if !sha.Relocates() {
 			continue
 		}
