--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -179,7 +179,7 @@
 	for _, stg := range lasting {
 		sha := shares[stg]
 		sha.MayMiss = stg.step.MayMiss
-		sha.Away = stg.away(hos)
+		sha.Unavailable = stg.away(hos)
 		can.Lasting = append(can.Lasting, sha)
 	}
 	return can
@@ -195,7 +195,7 @@
 		if stg == nil || !stg.step.LongRunning || done[stg] || !hel.working() {
 			continue
 		}
-		sha := upkeep.StepShare{Local: hos.working(stg), Away: stg.away(hos), MayMiss: stg.step.MayMiss}
+		sha := upkeep.StepShare{Local: hos.working(stg), Unavailable: stg.away(hos), MayMiss: stg.step.MayMiss}
 		if !sha.Relocates() {
 			continue
 		}
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -51,20 +51,20 @@
 
 // StepShare is what a machine holds of a step that lasts.
 type StepShare struct {
-	// Local is how many of the step's tasks at work the machine holds; Away is
+	// Local is how many of the step's tasks at work the machine holds; Unavailable is
 	// how many others are not at work; MayMiss is how many may be away.
-	Local, Away, MayMiss int
+	Local, Unavailable, MayMiss int
 }
 
 // Breaks reports whether ending the tasks here would leave too many away.
 func (sha StepShare) Breaks() bool {
-	return sha.MayMiss > 0 && sha.Local > 0 && sha.Away+sha.Local > sha.MayMiss
+	return sha.MayMiss > 0 && sha.Local > 0 && sha.Unavailable+sha.Local > sha.MayMiss
 }
 
 // Relocates reports whether one of the tasks here should go elsewhere first, for
 // the machine holds more of them than may be away at once.
 func (sha StepShare) Relocates() bool {
-	return sha.MayMiss > 0 && sha.Local > sha.MayMiss && sha.Away < sha.MayMiss
+	return sha.MayMiss > 0 && sha.Local > sha.MayMiss && sha.Unavailable < sha.MayMiss
 }
 
 // Candidate is a machine that may go down.
