--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -196,7 +196,7 @@
 			continue
 		}
 		sha := upkeep.StepShare{Local: hos.working(stg), Unavailable: stg.away(hos), MayMiss: stg.step.MayMiss}
-		if !sha.Relocates() {
+		if !sha.NeedsRelocation() {
 			continue
 		}
 		done[stg] = true
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -61,9 +61,9 @@
 	return sha.MayMiss > 0 && sha.Local > 0 && sha.Unavailable+sha.Local > sha.MayMiss
 }
 
-// Relocates reports whether one of the tasks here should go elsewhere first, for
+// NeedsRelocation reports whether one of the tasks here should go elsewhere first, for
 // the machine holds more of them than may be away at once.
-func (sha StepShare) Relocates() bool {
+func (sha StepShare) NeedsRelocation() bool {
 	return sha.MayMiss > 0 && sha.Local > sha.MayMiss && sha.Unavailable < sha.MayMiss
 }
 
@@ -135,7 +135,7 @@
 		}
 		free--
 		stp.Cordon = append(stp.Cordon, can.Machine)
-		if slices.ContainsFunc(can.Lasting, StepShare.Relocates) {
+		if slices.ContainsFunc(can.Lasting, StepShare.NeedsRelocation) {
 			stp.Relocate = append(stp.Relocate, can.Machine)
 		}
 		if !can.Breaks() && (can.Lost == 0 || late) {
