--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -56,8 +56,8 @@
 	Local, Unavailable, MayMiss int
 }
 
-// Breaks reports whether ending the tasks here would leave too many away.
-func (sha StepShare) Breaks() bool {
+// ExceedsBudget reports whether ending the tasks here would leave too many away.
+func (sha StepShare) ExceedsBudget() bool {
 	return sha.MayMiss > 0 && sha.Local > 0 && sha.Unavailable+sha.Local > sha.MayMiss
 }
 
@@ -84,7 +84,7 @@
 // step away.
 func (can Candidate) Breaks() bool {
 	for _, sha := range can.Lasting {
-		if sha.Breaks() {
+		if sha.ExceedsBudget() {
 			return true
 		}
 	}
