--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -79,7 +79,7 @@
 	for _, name := range stp.Begin {
 		// Machines that go down before it in this round may hold tasks of the same
 		// step.
-		if sta.candidate(name).Breaks() {
+		if sta.candidate(name).ExceedsBudget() {
 			continue
 		}
 		wav.ordered[name] = true
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -80,9 +80,9 @@
 	Lasting []StepShare
 }
 
-// Breaks reports whether the machine's upkeep would leave too many tasks of a
+// ExceedsBudget reports whether the machine's upkeep would leave too many tasks of a
 // step away.
-func (can Candidate) Breaks() bool {
+func (can Candidate) ExceedsBudget() bool {
 	for _, sha := range can.Lasting {
 		if sha.ExceedsBudget() {
 			return true
@@ -114,8 +114,8 @@
 	}
 	cans = slices.Clone(cans)
 	slices.SortStableFunc(cans, func(one, oth Candidate) int {
-		if one.Breaks() != oth.Breaks() {
-			if oth.Breaks() {
+		if one.ExceedsBudget() != oth.ExceedsBudget() {
+			if oth.ExceedsBudget() {
 				return -1
 			}
 			return 1
@@ -138,7 +138,7 @@
 		if slices.ContainsFunc(can.Lasting, StepShare.NeedsRelocation) {
 			stp.Relocate = append(stp.Relocate, can.Machine)
 		}
-		if !can.Breaks() && (can.Lost == 0 || late) {
+		if !can.ExceedsBudget() && (can.Lost == 0 || late) {
 			stp.Begin = append(stp.Begin, can.Machine)
 		}
 	}
