--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -171,9 +171,9 @@
 		}
 		left := stg.step.Estimate - sta.now.Sub(hel.since)
 		can.Left = max(can.Left, left)
-		can.Lost += stg.step.Size.Cores() * sta.now.Sub(hel.since).Seconds()
-		if can.Lost == 0 {
-			can.Lost = stg.step.Size.Cores()
+		can.LostWork += stg.step.Size.Cores() * sta.now.Sub(hel.since).Seconds()
+		if can.LostWork == 0 {
+			can.LostWork = stg.step.Size.Cores()
 		}
 	}
 	for _, stg := range lasting {
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -72,8 +72,8 @@
 	Machine string
 	// Up says that the machine is up and not leaving.
 	Up bool
-	// Lost is the core-seconds of unsaved work that its upkeep would end.
-	Lost float64
+	// LostWork is the core-seconds of unsaved work that its upkeep would end.
+	LostWork float64
 	// Left is the longest time that a task there is thought to need yet.
 	Left time.Duration
 	// Lasting holds its tasks that last, by step.
@@ -120,7 +120,7 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(one.Left, oth.Left), cmp.Compare(one.Lost, oth.Lost), cmp.Compare(one.Machine, oth.Machine))
+		return cmp.Or(cmp.Compare(one.Left, oth.Left), cmp.Compare(one.LostWork, oth.LostWork), cmp.Compare(one.Machine, oth.Machine))
 	})
 	usable := time.Duration(float64(pla.Wave.Duration) * (1 - reserveShare))
 	rounds := (len(cans) + pla.Wave.Cap - 1) / pla.Wave.Cap
@@ -138,7 +138,7 @@
 		if slices.ContainsFunc(can.Lasting, StepShare.NeedsRelocation) {
 			stp.Relocate = append(stp.Relocate, can.Machine)
 		}
-		if !can.ExceedsBudget() && (can.Lost == 0 || late) {
+		if !can.ExceedsBudget() && (can.LostWork == 0 || late) {
 			stp.Begin = append(stp.Begin, can.Machine)
 		}
 	}
