--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -170,7 +170,7 @@
 			continue
 		}
 		left := stg.step.Estimate - sta.now.Sub(hel.since)
-		can.Left = max(can.Left, left)
+		can.Remaining = max(can.Remaining, left)
 		can.LostWork += stg.step.Size.Cores() * sta.now.Sub(hel.since).Seconds()
 		if can.LostWork == 0 {
 			can.LostWork = stg.step.Size.Cores()
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -74,8 +74,8 @@
 	Up bool
 	// LostWork is the core-seconds of unsaved work that its upkeep would end.
 	LostWork float64
-	// Left is the longest time that a task there is thought to need yet.
-	Left time.Duration
+	// Remaining is the longest time that a task there is thought to need yet.
+	Remaining time.Duration
 	// Lasting holds its tasks that last, by step.
 	Lasting []StepShare
 }
@@ -120,7 +120,7 @@
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(one.Left, oth.Left), cmp.Compare(one.LostWork, oth.LostWork), cmp.Compare(one.Machine, oth.Machine))
+		return cmp.Or(cmp.Compare(one.Remaining, oth.Remaining), cmp.Compare(one.LostWork, oth.LostWork), cmp.Compare(one.Machine, oth.Machine))
 	})
 	usable := time.Duration(float64(pla.Wave.Duration) * (1 - reserveShare))
 	rounds := (len(cans) + pla.Wave.Cap - 1) / pla.Wave.Cap
--- a/internal/core/upkeep/wave_test.go
+++ b/internal/core/upkeep/wave_test.go
@@ -17,7 +17,7 @@
 // no more than the cap.
 func TestIdleMachinesFirst(t *testing.T) {
 	cans := []Candidate{
-		{Machine: "a", Up: true, LostWork: 3, Left: time.Second},
+		{Machine: "a", Up: true, LostWork: 3, Remaining: time.Second},
 		{Machine: "b", Up: true},
 		{Machine: "c", Up: true},
 	}
@@ -28,7 +28,7 @@
 
 // TestRunningTasksMayEnd waits for tasks that end, until the wave would be late.
 func TestRunningTasksMayEnd(t *testing.T) {
-	cans := []Candidate{{Machine: "a", Up: true, LostWork: 3, Left: time.Second}}
+	cans := []Candidate{{Machine: "a", Up: true, LostWork: 3, Remaining: time.Second}}
 	assert.DeepEqual(t, plan(1).Next(asked, cans, 0, 2*time.Second), Step{Cordon: []string{"a"}})
 	late := asked.Add(16 * time.Second)
 	assert.DeepEqual(t, plan(1).Next(late, cans, 0, 2*time.Second), Step{Cordon: []string{"a"}, Begin: []string{"a"}})
