--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -180,7 +180,7 @@
 		sha := shares[stg]
 		sha.MayMiss = stg.step.MayMiss
 		sha.Unavailable = stg.away(hos)
-		can.Lasting = append(can.Lasting, sha)
+		can.StepShares = append(can.StepShares, sha)
 	}
 	return can
 }
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -76,14 +76,14 @@
 	LostWork float64
 	// Remaining is the longest time that a task there is thought to need yet.
 	Remaining time.Duration
-	// Lasting holds its tasks that last, by step.
-	Lasting []StepShare
+	// StepShares holds its tasks that last, by step.
+	StepShares []StepShare
 }
 
 // ExceedsBudget reports whether the machine's upkeep would leave too many tasks of a
 // step away.
 func (can Candidate) ExceedsBudget() bool {
-	for _, sha := range can.Lasting {
+	for _, sha := range can.StepShares {
 		if sha.ExceedsBudget() {
 			return true
 		}
@@ -135,7 +135,7 @@
 		}
 		free--
 		stp.Cordon = append(stp.Cordon, can.Machine)
-		if slices.ContainsFunc(can.Lasting, StepShare.NeedsRelocation) {
+		if slices.ContainsFunc(can.StepShares, StepShare.NeedsRelocation) {
 			stp.Relocate = append(stp.Relocate, can.Machine)
 		}
 		if !can.ExceedsBudget() && (can.LostWork == 0 || late) {
--- a/internal/core/upkeep/wave_test.go
+++ b/internal/core/upkeep/wave_test.go
@@ -37,11 +37,11 @@
 // TestSiblingsOnOneMachine is a machine with two tasks of a step of which one
 // may be away: one of them goes elsewhere before the upkeep.
 func TestSiblingsOnOneMachine(t *testing.T) {
-	two := []Candidate{{Machine: "a", Up: true, Lasting: []StepShare{{Local: 2, Unavailable: 0, MayMiss: 1}}}}
+	two := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 2, Unavailable: 0, MayMiss: 1}}}}
 	assert.DeepEqual(t, plan(1).Next(asked, two, 0, 2*time.Second), Step{Cordon: []string{"a"}, Relocate: []string{"a"}})
-	away := []Candidate{{Machine: "a", Up: true, Lasting: []StepShare{{Local: 1, Unavailable: 1, MayMiss: 1}}}}
+	away := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 1, MayMiss: 1}}}}
 	assert.DeepEqual(t, plan(1).Next(asked, away, 0, 2*time.Second), Step{Cordon: []string{"a"}})
-	back := []Candidate{{Machine: "a", Up: true, Lasting: []StepShare{{Local: 1, Unavailable: 0, MayMiss: 1}}}}
+	back := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 0, MayMiss: 1}}}}
 	assert.DeepEqual(t, plan(1).Next(asked, back, 0, 2*time.Second), Step{Cordon: []string{"a"}, Begin: []string{"a"}})
 }
 
