--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -91,8 +91,8 @@
 	return false
 }
 
-// Step is what to do next for a wave.
-type Step struct {
+// Actions is what to do next for a wave.
+type Actions struct {
 	// Cordon lists the machines that get no new tasks.
 	Cordon []string
 	// Relocate lists the machines from which tasks that last go elsewhere.
@@ -107,10 +107,10 @@
 
 // Next plans the next step of a wave. down is how many of its machines are
 // down for upkeep; each takes about the span.
-func (pla Plan) Next(now time.Time, cans []Candidate, down int, span time.Duration) Step {
+func (pla Plan) Next(now time.Time, cans []Candidate, down int, span time.Duration) Actions {
 	free := pla.Wave.Cap - down
 	if free <= 0 || len(cans) == 0 {
-		return Step{}
+		return Actions{}
 	}
 	cans = slices.Clone(cans)
 	slices.SortStableFunc(cans, func(one, oth Candidate) int {
@@ -125,7 +125,7 @@
 	usable := time.Duration(float64(pla.Wave.Duration) * (1 - reserveShare))
 	rounds := (len(cans) + pla.Wave.Cap - 1) / pla.Wave.Cap
 	late := now.Add(time.Duration(rounds) * span).After(pla.RequestedAt.Add(usable))
-	var stp Step
+	var stp Actions
 	for _, can := range cans {
 		if free == 0 {
 			break
--- a/internal/core/upkeep/wave_test.go
+++ b/internal/core/upkeep/wave_test.go
@@ -21,28 +21,28 @@
 		{Machine: "b", Up: true},
 		{Machine: "c", Up: true},
 	}
-	assert.DeepEqual(t, plan(2).Next(asked, cans, 0, 2*time.Second), Step{Cordon: []string{"b", "c"}, Begin: []string{"b", "c"}})
-	assert.DeepEqual(t, plan(2).Next(asked, cans, 1, 2*time.Second), Step{Cordon: []string{"b"}, Begin: []string{"b"}})
-	assert.DeepEqual(t, plan(2).Next(asked, cans, 2, 2*time.Second), Step{})
+	assert.DeepEqual(t, plan(2).Next(asked, cans, 0, 2*time.Second), Actions{Cordon: []string{"b", "c"}, Begin: []string{"b", "c"}})
+	assert.DeepEqual(t, plan(2).Next(asked, cans, 1, 2*time.Second), Actions{Cordon: []string{"b"}, Begin: []string{"b"}})
+	assert.DeepEqual(t, plan(2).Next(asked, cans, 2, 2*time.Second), Actions{})
 }
 
 // TestRunningTasksMayEnd waits for tasks that end, until the wave would be late.
 func TestRunningTasksMayEnd(t *testing.T) {
 	cans := []Candidate{{Machine: "a", Up: true, LostWork: 3, Remaining: time.Second}}
-	assert.DeepEqual(t, plan(1).Next(asked, cans, 0, 2*time.Second), Step{Cordon: []string{"a"}})
+	assert.DeepEqual(t, plan(1).Next(asked, cans, 0, 2*time.Second), Actions{Cordon: []string{"a"}})
 	late := asked.Add(16 * time.Second)
-	assert.DeepEqual(t, plan(1).Next(late, cans, 0, 2*time.Second), Step{Cordon: []string{"a"}, Begin: []string{"a"}})
+	assert.DeepEqual(t, plan(1).Next(late, cans, 0, 2*time.Second), Actions{Cordon: []string{"a"}, Begin: []string{"a"}})
 }
 
 // TestSiblingsOnOneMachine is a machine with two tasks of a step of which one
 // may be away: one of them goes elsewhere before the upkeep.
 func TestSiblingsOnOneMachine(t *testing.T) {
 	two := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 2, Unavailable: 0, MayMiss: 1}}}}
-	assert.DeepEqual(t, plan(1).Next(asked, two, 0, 2*time.Second), Step{Cordon: []string{"a"}, Relocate: []string{"a"}})
+	assert.DeepEqual(t, plan(1).Next(asked, two, 0, 2*time.Second), Actions{Cordon: []string{"a"}, Relocate: []string{"a"}})
 	away := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 1, MayMiss: 1}}}}
-	assert.DeepEqual(t, plan(1).Next(asked, away, 0, 2*time.Second), Step{Cordon: []string{"a"}})
+	assert.DeepEqual(t, plan(1).Next(asked, away, 0, 2*time.Second), Actions{Cordon: []string{"a"}})
 	back := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 0, MayMiss: 1}}}}
-	assert.DeepEqual(t, plan(1).Next(asked, back, 0, 2*time.Second), Step{Cordon: []string{"a"}, Begin: []string{"a"}})
+	assert.DeepEqual(t, plan(1).Next(asked, back, 0, 2*time.Second), Actions{Cordon: []string{"a"}, Begin: []string{"a"}})
 }
 
 // TestCompleted counts machines that are gone as done.
