--- a/internal/core/pace/pace.go
+++ b/internal/core/pace/pace.go
@@ -36,9 +36,9 @@
 // NewControl returns a control that holds nothing back.
 func NewControl() Control { return Control{Percent: Full} }
 
-// WithTail returns the control after a look: the highest ratio of a tail to its
+// WithTailRatio returns the control after a look: the highest ratio of a tail to its
 // target on the VM.
-func (con Control) WithTail(now time.Time, ratio float64) Control {
+func (con Control) WithTailRatio(now time.Time, ratio float64) Control {
 	if now.Sub(con.Changed) < settleTime {
 		return con
 	}
--- a/internal/core/scheduler/pace.go
+++ b/internal/core/scheduler/pace.go
@@ -30,7 +30,7 @@
 		ratio = 0
 	}
 	before := hos.pace.Percent
-	hos.pace = hos.pace.WithTail(sta.now, ratio)
+	hos.pace = hos.pace.WithTailRatio(sta.now, ratio)
 	if hos.pace.Percent != before {
 		sta.note("pace_changed", "", map[string]any{"vm": hos.vm.ID, "percent": hos.pace.Percent, "tail_ratio": ratio})
 	}
