--- a/internal/core/rebalance/rebalance.go
+++ b/internal/core/rebalance/rebalance.go
@@ -27,8 +27,8 @@
 // Idle is a machine that runs nothing.
 type Idle struct {
 	Machine string
-	// For is how long it has run nothing.
-	For time.Duration
+	// IdleFor is how long it has run nothing.
+	IdleFor time.Duration
 }
 
 // Move moves a machine to a pool.
@@ -103,7 +103,7 @@
 			if len(moves) >= most || src.Have <= src.Keep {
 				break
 			}
-			if idl.For < restAfter || !allowed(idl.Machine, to) {
+			if idl.IdleFor < restAfter || !allowed(idl.Machine, to) {
 				continue
 			}
 			src.Have--
--- a/internal/core/rebalance/rebalance_test.go
+++ b/internal/core/rebalance/rebalance_test.go
@@ -11,7 +11,7 @@
 
 func idle(span time.Duration, machines ...string) (all []Idle) {
 	for _, name := range machines {
-		all = append(all, Idle{Machine: name, For: span})
+		all = append(all, Idle{Machine: name, IdleFor: span})
 	}
 	return all
 }
--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -189,7 +189,7 @@
 				lasting++
 			}
 			if name, ok := sta.machines.byVM[hos.vm.ID]; ok && len(hos.list) == 0 {
-				flp.Empty = append(flp.Empty, rebalance.Idle{Machine: name, For: sta.now.Sub(hos.emptySince)})
+				flp.Empty = append(flp.Empty, rebalance.Idle{Machine: name, IdleFor: sta.now.Sub(hos.emptySince)})
 			}
 		}
 		cores += needed[poo.Name] + dem.rate*leadTime.Seconds()
