--- a/internal/core/rebalance/rebalance.go
+++ b/internal/core/rebalance/rebalance.go
@@ -21,11 +21,11 @@
 	// and at least Want.
 	Want, Keep int
 	// Empty lists its machines that run nothing, the longest idle first.
-	Empty []Idle
+	Empty []IdleMachine
 }
 
-// Idle is a machine that runs nothing.
-type Idle struct {
+// IdleMachine is a machine that runs nothing.
+type IdleMachine struct {
 	Machine string
 	// IdleFor is how long it has run nothing.
 	IdleFor time.Duration
--- a/internal/core/rebalance/rebalance_test.go
+++ b/internal/core/rebalance/rebalance_test.go
@@ -9,9 +9,9 @@
 
 func anywhere(string, string) bool { return true }
 
-func idle(span time.Duration, machines ...string) (all []Idle) {
+func idle(span time.Duration, machines ...string) (all []IdleMachine) {
 	for _, name := range machines {
-		all = append(all, Idle{Machine: name, IdleFor: span})
+		all = append(all, IdleMachine{Machine: name, IdleFor: span})
 	}
 	return all
 }
--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -189,7 +189,7 @@
 				lasting++
 			}
 			if name, ok := sta.machines.byVM[hos.vm.ID]; ok && len(hos.list) == 0 {
-				flp.Empty = append(flp.Empty, rebalance.Idle{Machine: name, IdleFor: sta.now.Sub(hos.emptySince)})
+				flp.Empty = append(flp.Empty, rebalance.IdleMachine{Machine: name, IdleFor: sta.now.Sub(hos.emptySince)})
 			}
 		}
 		cores += needed[poo.Name] + dem.rate*leadTime.Seconds()
@@ -222,7 +222,7 @@
 }
 
 // standbyMachines returns the machines of a standby pool that may be moved.
-func (sta *State) standbyMachines(pool string) (idle []rebalance.Idle) {
+func (sta *State) standbyMachines(pool string) (idle []rebalance.IdleMachine) {
 	for _, name := range sta.machineNames {
 		mac := sta.machines.byName[name]
 		_, moves := sta.moves[name]
@@ -232,7 +232,7 @@
 		if hos := sta.hosts[mac.VM]; hos != nil && (hos.vm.Leaving || hos.cordoned || hos.goingDown || len(hos.list) > 0) {
 			continue
 		}
-		idle = append(idle, rebalance.Idle{Machine: name})
+		idle = append(idle, rebalance.IdleMachine{Machine: name})
 	}
 	return idle
 }
