--- a/internal/core/priority/priority.go
+++ b/internal/core/priority/priority.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Bid is what a step that waits brings to the order.
-type Bid struct {
+// Key is what a step that waits brings to the order.
+type Key struct {
 	// Lasts says that the tasks run until their job is cancelled.
 	Lasts bool
 	// Excess says that the job lies beyond what its client account is entitled to.
@@ -25,7 +25,7 @@
 }
 
 // Timely reports whether the job can still end in time.
-func (bid Bid) Timely(now time.Time) bool {
+func (bid Key) Timely(now time.Time) bool {
 	return !now.Add(bid.Remaining).After(bid.Deadline)
 }
 
@@ -41,7 +41,7 @@
 	classLateExcess
 )
 
-func (bid Bid) class(now time.Time) class {
+func (bid Key) class(now time.Time) class {
 	switch timely := bid.Timely(now); {
 	case bid.Lasts:
 		return classLasting
@@ -58,7 +58,7 @@
 
 // Compare is negative if a bid comes before another one. What lasts comes first,
 // then what can be in time by its deadline, then what is late by its work.
-func Compare(now time.Time, one, oth Bid) int {
+func Compare(now time.Time, one, oth Key) int {
 	kind := one.class(now)
 	if ord := cmp.Or(cmp.Compare(kind, oth.class(now)), cmp.Compare(one.Priority, oth.Priority)); ord != 0 {
 		return ord
--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -105,7 +105,7 @@
 
 // question is one that is to be put to the advisor.
 type question struct {
-	bid   priority.Bid
+	bid   priority.Key
 	stage *stage
 	vms   []string
 	// early says that no task of the stage could start yet, for want of room or
--- a/internal/core/scheduler/assign.go
+++ b/internal/core/scheduler/assign.go
@@ -11,7 +11,7 @@
 // waitingStage is a stage with tasks that wait for room.
 type waitingStage struct {
 	stage *stage
-	bid   priority.Bid
+	bid   priority.Key
 }
 
 // viewAge bounds how old the view of jobs may be to start tasks by it: a job may
@@ -71,10 +71,10 @@
 	return liv.pool
 }
 
-func (sta *State) bid(stg *stage) priority.Bid {
+func (sta *State) bid(stg *stage) priority.Key {
 	liv := stg.live
 	occ := liv.occs[stg.occ]
-	bid := priority.Bid{Lasts: stg.step.LongRunning, Excess: liv.excess, Job: string(liv.spec.ID)}
+	bid := priority.Key{Lasts: stg.step.LongRunning, Excess: liv.excess, Job: string(liv.spec.ID)}
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
 		bid.Priority = que.Priority
 	}
