--- a/internal/core/priority/priority.go
+++ b/internal/core/priority/priority.go
@@ -8,8 +8,8 @@
 
 // Key is what a step that waits brings to the order.
 type Key struct {
-	// Lasts says that the tasks run until their job is cancelled.
-	Lasts bool
+	// IsLongRunning says that the tasks run until their job is cancelled.
+	IsLongRunning bool
 	// Excess says that the job lies beyond what its client account is entitled to.
 	Excess bool
 	// Priority is the queue's; 0 comes first.
@@ -43,7 +43,7 @@
 
 func (bid Key) class(now time.Time) class {
 	switch timely := bid.Timely(now); {
-	case bid.Lasts:
+	case bid.IsLongRunning:
 		return classLasting
 	case timely && !bid.Excess:
 		return classTimely
--- a/internal/core/scheduler/assign.go
+++ b/internal/core/scheduler/assign.go
@@ -74,7 +74,7 @@
 func (sta *State) bid(stg *stage) priority.Key {
 	liv := stg.live
 	occ := liv.occs[stg.occ]
-	bid := priority.Key{Lasts: stg.step.LongRunning, Excess: liv.excess, Job: string(liv.spec.ID)}
+	bid := priority.Key{IsLongRunning: stg.step.LongRunning, Excess: liv.excess, Job: string(liv.spec.ID)}
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
 		bid.Priority = que.Priority
 	}
