--- a/internal/core/priority/priority.go
+++ b/internal/core/priority/priority.go
@@ -24,8 +24,8 @@
 	Job string
 }
 
-// Timely reports whether the job can still end in time.
-func (bid Key) Timely(now time.Time) bool {
+// CanMeetDeadline reports whether the job can still end in time.
+func (bid Key) CanMeetDeadline(now time.Time) bool {
 	return !now.Add(bid.Remaining).After(bid.Deadline)
 }
 
@@ -42,7 +42,7 @@
 )
 
 func (bid Key) class(now time.Time) class {
-	switch timely := bid.Timely(now); {
+	switch timely := bid.CanMeetDeadline(now); {
 	case bid.IsLongRunning:
 		return classLasting
 	case timely && !bid.Excess:
