--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -62,10 +62,10 @@
 
 // The ways in which a run ends.
 const (
-	EndDone    EndKind = "done"
-	EndFailed  EndKind = "failed"
-	EndStopped EndKind = "stopped"
-	EndLeaseExpired  EndKind = "lapsed"
+	EndDone         EndKind = "done"
+	EndFailed       EndKind = "failed"
+	EndStopped      EndKind = "stopped"
+	EndLeaseExpired EndKind = "lapsed"
 	// EndGangBroken means that another member of the gang ended.
 	EndGangBroken EndKind = "broken"
 	// EndGangIncomplete means that the other members of the gang didn't come in time.
