--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -95,7 +95,7 @@
 func (dis *dispatcher) look(ctx context.Context, now time.Time, eff scheduler.Look) {
 	ask, cancel := context.WithTimeout(ctx, eff.Wait+lookSlack)
 	defer cancel()
-	rep, res, err := dis.nod.executors.Look(ask, eff.VM, platform.Poll{Term: dis.term(), Acked: eff.Acked, Deadline: eff.Deadline, Wait: eff.Wait})
+	rep, res, err := dis.nod.executors.Poll(ask, eff.VM, platform.Poll{Term: dis.term(), Acked: eff.Acked, Deadline: eff.Deadline, Wait: eff.Wait})
 	dis.failed("look", eff.VM.ID, err)
 	dis.send(ctx, scheduler.Looked{VM: eff.VM, Sent: now, Report: rep, Result: res})
 }
