--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -51,11 +51,11 @@
 	case scheduler.ListMachines:
 		go dis.listMachines(ctx, now)
 	case scheduler.Upkeep:
-		go dis.machineOrder(ctx, eff.Machine, eff.Wave, func(ctx context.Context, ord platform.MachineOrder) (worker.MachineResult, error) {
+		go dis.machineOrder(ctx, eff.Machine, eff.Wave, func(ctx context.Context, ord platform.OrderIssuer) (worker.MachineResult, error) {
 			return dis.nod.machines.Upkeep(ctx, ord, eff.Machine, eff.Wave)
 		})
 	case scheduler.Move:
-		go dis.machineOrder(ctx, eff.Machine, 0, func(ctx context.Context, ord platform.MachineOrder) (worker.MachineResult, error) {
+		go dis.machineOrder(ctx, eff.Machine, 0, func(ctx context.Context, ord platform.OrderIssuer) (worker.MachineResult, error) {
 			return dis.nod.machines.Move(ctx, ord, eff.Machine, eff.Pool)
 		})
 	case scheduler.SaveWave:
@@ -156,12 +156,12 @@
 
 // machineOrder gives an order for a machine. VMs don't check terms for these,
 // so that the duty must be sure at the time of sending.
-func (dis *dispatcher) machineOrder(ctx context.Context, machine string, wave int64, order func(context.Context, platform.MachineOrder) (worker.MachineResult, error)) {
+func (dis *dispatcher) machineOrder(ctx context.Context, machine string, wave int64, order func(context.Context, platform.OrderIssuer) (worker.MachineResult, error)) {
 	ask, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	res, err := worker.MachineRefused, errNotHeld
 	if cur := dis.ten.Current(); cur.Holds(dis.nod.now()) {
-		res, err = order(ask, platform.MachineOrder{Holder: cur.Holder.Name, Term: cur.Holder.Term})
+		res, err = order(ask, platform.OrderIssuer{Holder: cur.Holder.Name, Term: cur.Holder.Term})
 	}
 	if err != nil {
 		dis.nod.log.Event("machine_order_failed", decisionlog.Fields{"machine": machine, "wave": wave, "error": err.Error()})
