--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -61,7 +61,7 @@
 	dis := &dispatcher{nod: nod, ten: ten, events: make(chan scheduler.Event, eventQueue), askers: advisory.NewPool(nod.now)}
 	dis.sta = scheduler.New(scheduler.Options{
 		Since: cur.Since, Revision: cur.Revision, Term: cur.Holder.Term,
-		Lease:    min(maxLease, time.Duration(float64(bnd.MaxHold)*leaseShare)),
+		Lease:    min(maxLease, time.Duration(float64(bnd.MaxTaskLease)*leaseShare)),
 		StopTime: bnd.StopTime, UpkeepTime: bnd.Upkeep,
 		KeepEnded:      bnd.KeepEnded,
 		ShareWindow:    bnd.ShareWindow,
