--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -314,10 +314,10 @@
 	changed := strings.Replace(string(text), "revoke-ms = 5000", "revoke-ms = 4000", 1)
 	assert.NilError(t, os.WriteFile(pro.settings, []byte(changed), 0o600))
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
-	rg.await("new bound", func() bool { return pro.nod.settings().Bounds.Revoke == 4*time.Second })
+	rg.await("new bound", func() bool { return pro.nod.settings().Bounds.KeyRevocation == 4*time.Second })
 	assert.NilError(t, os.WriteFile(pro.settings, []byte("node-name = 7"), 0o600))
 	assert.NilError(t, syscall.Kill(os.Getpid(), syscall.SIGHUP))
 	time.Sleep(200 * time.Millisecond)
-	assert.Equal(t, pro.nod.settings().Bounds.Revoke, 4*time.Second)
+	assert.Equal(t, pro.nod.settings().Bounds.KeyRevocation, 4*time.Second)
 	assert.Equal(t, rg.status(http.MethodPost, rg.jobURL(0, "/gate/", 1), "k1", jobBody), http.StatusOK)
 }
--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -173,7 +173,7 @@
 }
 
 func (nod *Node) freshness() intake.Freshness {
-	keyed := time.Duration(float64(nod.settings().Bounds.Revoke) * keyedShare)
+	keyed := time.Duration(float64(nod.settings().Bounds.KeyRevocation) * keyedShare)
 	return intake.Freshness{Keyed: keyed, Denied: deniedAge, Write: writeAge}
 }
 
@@ -196,7 +196,7 @@
 // its configuration, takes no new connections.
 func (nod *Node) ready(ctx context.Context) http.HandlerFunc {
 	return func(wri http.ResponseWriter, _ *http.Request) {
-		bound := time.Duration(float64(nod.settings().Bounds.Revoke) * readyShare)
+		bound := time.Duration(float64(nod.settings().Bounds.KeyRevocation) * readyShare)
 		vie := nod.operator.current()
 		if ctx.Err() != nil || vie.Confirmed.IsZero() || nod.now().Sub(vie.Confirmed) > bound {
 			wri.WriteHeader(http.StatusServiceUnavailable)
