--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -65,7 +65,7 @@
 		StopTime: bnd.StopTime, UpkeepTime: bnd.Upkeep,
 		KeepEnded:      bnd.KeepEnded,
 		ShareWindow:    bnd.ShareWindow,
-		MovesPerSecond: set.MachineOrders,
+		MovesPerSecond: set.MachineOrdersPerSecond,
 	})
 	go dis.bring(ctx)
 	go dis.followAskers(ctx)
