--- a/internal/manager/reload.go
+++ b/internal/manager/reload.go
@@ -44,7 +44,7 @@
 		nod.log.Event("settings_not_reloaded", decisionlog.Fields{"cause": cause, "error": err.Error()})
 		return
 	}
-	fixed := set.WithAddressesOf(old)
+	fixed := set.WithFixedSettingsOf(old)
 	if cause == "check" && fixed == old {
 		return
 	}
