--- a/internal/manager/view.go
+++ b/internal/manager/view.go
@@ -111,9 +111,9 @@
 		}
 		opv.view.Catalog = cat
 		opv.log.Event("configuration_applied", decisionlog.Fields{"version": cat.Version, "revision": cat.Revision, "queues": len(cat.Queues), "accounts": len(cat.Accounts)})
-	case platform.IsWave(itm.Key) && cha.Deleted:
+	case platform.IsWaveKey(itm.Key) && cha.Deleted:
 		delete(opv.waves, itm.Key)
-	case platform.IsWave(itm.Key):
+	case platform.IsWaveKey(itm.Key):
 		wav, err := platform.DecodeWave(itm)
 		if err != nil {
 			opv.log.Event("entry_ignored", decisionlog.Fields{"key": itm.Key, "revision": itm.Revision, "error": err.Error()})
