--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -169,7 +169,7 @@
 		Freshness: nod.freshness,
 		View:      nod.operator.current, Admit: nod.load.admit, Pending: nod.load.pending,
 	}
-	return &platform.Ingress{Desk: desk, Now: nod.now, AfterCall: nod.called}
+	return &platform.Ingress{JobService: desk, Now: nod.now, AfterCall: nod.called}
 }
 
 func (nod *Node) freshness() intake.Freshness {
