--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -87,8 +87,8 @@
 	Write time.Duration
 }
 
-// Desk takes calls. It is safe for concurrent use.
-type Desk struct {
+// JobService takes calls. It is safe for concurrent use.
+type JobService struct {
 	Store kv.Store
 	// ConfigKey is the key of the configuration.
 	ConfigKey string
@@ -112,7 +112,7 @@
 
 // resolve finds the queue of a call and the client account of its key. The
 // answer is valid if the queue is nil.
-func (des *Desk) resolve(now time.Time, vie View, cal Call) (que *catalog.Queue, account string, ans Answer) {
+func (des *JobService) resolve(now time.Time, vie View, cal Call) (que *catalog.Queue, account string, ans Answer) {
 	if vie.Confirmed.IsZero() {
 		return nil, "", unavailable("no configuration yet")
 	}
@@ -144,7 +144,7 @@
 const maxConflicts = 3
 
 // Submit accepts a job.
-func (des *Desk) Submit(ctx context.Context, now time.Time, cal Call, spe job.Spec) Answer {
+func (des *JobService) Submit(ctx context.Context, now time.Time, cal Call, spe job.Spec) Answer {
 	vie := des.View()
 	for range maxConflicts {
 		que, account, ans := des.resolve(now, vie, cal)
@@ -169,7 +169,7 @@
 
 // store writes a job. The configuration's revision is a condition, so that no
 // job is accepted under a configuration that is no longer in force.
-func (des *Desk) store(ctx context.Context, now time.Time, que *catalog.Queue, vie View, spe job.Spec) (ans Answer, conflict bool) {
+func (des *JobService) store(ctx context.Context, now time.Time, que *catalog.Queue, vie View, spe job.Spec) (ans Answer, conflict bool) {
 	if des.Admit != nil {
 		if after, reason := des.Admit(now, que, spe); reason != "" {
 			return des.refuse(ctx, spe, after, reason), false
@@ -204,7 +204,7 @@
 }
 
 // commit applies a transaction that has the same effect if it is applied twice.
-func (des *Desk) commit(ctx context.Context, txn kv.Txn) error {
+func (des *JobService) commit(ctx context.Context, txn kv.Txn) error {
 	return attempt(ctx, func(ctx context.Context) error {
 		_, err := des.Store.Commit(ctx, txn)
 		return err
@@ -212,7 +212,7 @@
 }
 
 // refuse answers that a job is not accepted, unless it was accepted before.
-func (des *Desk) refuse(ctx context.Context, spe job.Spec, after time.Duration, reason string) Answer {
+func (des *JobService) refuse(ctx context.Context, spe job.Spec, after time.Duration, reason string) Answer {
 	rec, err := des.find(ctx, spe.ID)
 	switch {
 	case errors.Is(err, kv.ErrNotFound):
@@ -236,7 +236,7 @@
 
 // find reads a job. A job that ends is removed from the live ones in the same
 // transaction that stores its end, so that this order of reading finds it.
-func (des *Desk) find(ctx context.Context, id job.ID) (rec record, err error) {
+func (des *JobService) find(ctx context.Context, id job.ID) (rec record, err error) {
 	defer func() {
 		if err != nil && !errors.Is(err, kv.ErrNotFound) {
 			err = fmt.Errorf("find job %s: %w", id, err)
@@ -291,7 +291,7 @@
 }
 
 // State tells a job's state.
-func (des *Desk) State(ctx context.Context, now time.Time, cal Call, id job.ID) Answer {
+func (des *JobService) State(ctx context.Context, now time.Time, cal Call, id job.ID) Answer {
 	que, account, ans := des.resolve(now, des.View(), cal)
 	if que == nil {
 		return ans
@@ -308,7 +308,7 @@
 }
 
 // Cancel cancels a job.
-func (des *Desk) Cancel(ctx context.Context, now time.Time, cal Call, id job.ID) Answer {
+func (des *JobService) Cancel(ctx context.Context, now time.Time, cal Call, id job.ID) Answer {
 	que, account, ans := des.resolve(now, des.View(), cal)
 	if que == nil {
 		return ans
@@ -343,7 +343,7 @@
 }
 
 // Count tells how many jobs of a queue have not begun.
-func (des *Desk) Count(ctx context.Context, now time.Time, cal Call) Answer {
+func (des *JobService) Count(ctx context.Context, now time.Time, cal Call) Answer {
 	que, _, ans := des.resolve(now, des.View(), cal)
 	if que == nil {
 		return ans
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -41,13 +41,13 @@
 	return kv.Item{}, kv.ErrNotFound
 }
 
-func newDesk(sto *scriptedStore, age time.Duration) *Desk {
+func newDesk(sto *scriptedStore, age time.Duration) *JobService {
 	cat := catalog.New(catalog.Catalog{
 		Revision: 7,
 		Queues:   []catalog.Queue{{Name: "gate", Host: "h", Prefix: "/g/"}, {Name: "open", Host: "h", Prefix: "/o/", Public: true}},
 		Accounts: []catalog.Account{{Name: "city", Keys: []string{"k"}}},
 	})
-	return &Desk{
+	return &JobService{
 		Store: sto, ConfigKey: "config",
 		Freshness: func() Freshness {
 			return Freshness{Keyed: 3 * time.Second, Denied: 1500 * time.Millisecond, Write: 1300 * time.Millisecond}
--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -164,7 +164,7 @@
 )
 
 func (nod *Node) ingress() http.Handler {
-	desk := &intake.Desk{
+	desk := &intake.JobService{
 		Store: nod.store, ConfigKey: platform.ConfigKey,
 		Freshness: nod.freshness,
 		View:      nod.operator.current, Admit: nod.load.admit, Pending: nod.load.pending,
