--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -67,9 +67,9 @@
 	// Confirmed is when the catalog was last known to be the newest; zero if
 	// there is none.
 	Confirmed time.Time
-	// Heard is when the store last answered about it, which is later than
+	// LastContact is when the store last answered about it, which is later than
 	// Confirmed by as long as a watch waits.
-	Heard time.Time
+	LastContact time.Time
 }
 
 // Freshness bounds how old a view may be.
@@ -154,7 +154,7 @@
 		if err := spe.Check(); err != nil {
 			return Answer{Verdict: VerdictInvalid, Reason: err.Error()}
 		}
-		if age := now.Sub(vie.Heard); age > des.Freshness().Write {
+		if age := now.Sub(vie.LastContact); age > des.Freshness().Write {
 			return unavailable("the store is out of reach")
 		}
 		spe.Queue, spe.Account, spe.Accepted = que.Name, account, now
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -52,7 +52,7 @@
 		Freshness: func() Freshness {
 			return Freshness{Keyed: 3 * time.Second, Denied: 1500 * time.Millisecond, Write: 1300 * time.Millisecond}
 		},
-		View: func() View { return View{Catalog: cat, Confirmed: noon.Add(-age), Heard: noon.Add(-age)} },
+		View: func() View { return View{Catalog: cat, Confirmed: noon.Add(-age), LastContact: noon.Add(-age)} },
 	}
 }
 
@@ -141,7 +141,7 @@
 func TestWatchThatWaits(t *testing.T) {
 	des := newDesk(&scriptedStore{}, 1400*time.Millisecond)
 	vie := des.View()
-	vie.Heard = noon.Add(-700 * time.Millisecond)
+	vie.LastContact = noon.Add(-700 * time.Millisecond)
 	des.View = func() View { return vie }
 	ans := des.Submit(context.Background(), noon, Call{Host: "h", Path: "/g/1", Key: "k"}, oneStep())
 	assert.Equal(t, ans.Verdict, VerdictOK)
--- a/internal/manager/view.go
+++ b/internal/manager/view.go
@@ -61,7 +61,7 @@
 	opv.mu.Lock()
 	defer opv.mu.Unlock()
 	if opv.view.Catalog.Revision != 0 && sent.After(opv.view.Confirmed) {
-		opv.view.Confirmed, opv.view.Heard = sent, opv.now()
+		opv.view.Confirmed, opv.view.LastContact = sent, opv.now()
 	}
 }
 
