--- a/internal/advisory/fuzz_test.go
+++ b/internal/advisory/fuzz_test.go
@@ -15,11 +15,11 @@
 
 type emptyAsker struct{}
 
-func (emptyAsker) Ask(context.Context, Question) (Tickets, error) { return Tickets{}, nil }
+func (emptyAsker) Ask(context.Context, Query) (Tickets, error) { return Tickets{}, nil }
 
 // FuzzQuestion serves questions of other entries. Each is answered or refused.
 func FuzzQuestion(f *testing.F) {
-	raw, err := msgpack.Marshal(&Question{Job: "j", Step: 1, VMs: []string{"vm"}})
+	raw, err := msgpack.Marshal(&Query{Job: "j", Step: 1, VMs: []string{"vm"}})
 	if err != nil {
 		f.Fatal(err)
 	}
--- a/internal/advisory/pool.go
+++ b/internal/advisory/pool.go
@@ -73,7 +73,7 @@
 }
 
 // Ask puts a question by the next asker that is free.
-func (poo *Pool) Ask(ctx context.Context, que Question) (ans Answer, err error) {
+func (poo *Pool) Ask(ctx context.Context, que Query) (ans Answer, err error) {
 	name, mem, err := poo.take(ctx)
 	if err != nil {
 		return Answer{}, err
--- a/internal/advisory/pool_test.go
+++ b/internal/advisory/pool_test.go
@@ -20,7 +20,7 @@
 	asked atomic.Int32
 }
 
-func (ask *gatedAsker) Ask(ctx context.Context, _ Question) (Tickets, error) {
+func (ask *gatedAsker) Ask(ctx context.Context, _ Query) (Tickets, error) {
 	ask.asked.Add(1)
 	select {
 	case err := <-ask.gate:
@@ -39,7 +39,7 @@
 	answers := make(chan error, 3)
 	for range 3 {
 		go func() {
-			_, err := poo.Ask(context.Background(), Question{Job: "j"})
+			_, err := poo.Ask(context.Background(), Query{Job: "j"})
 			answers <- err
 		}()
 	}
@@ -63,17 +63,17 @@
 	ask := &gatedAsker{gate: make(chan error, 1)}
 	poo.Set([]string{"a"}, func(string) Asker { return ask })
 	ask.gate <- errors.New("connection reset")
-	_, err := poo.Ask(context.Background(), Question{Job: "j", Step: 2})
+	_, err := poo.Ask(context.Background(), Query{Job: "j", Step: 2})
 	assert.ErrorContains(t, err, "step 2 of job j by a: connection reset")
 	assert.Equal(t, poo.Size(), 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = poo.Ask(ctx, Question{})
+	_, err = poo.Ask(ctx, Query{})
 	assert.ErrorContains(t, err, "no asker is free")
 	now = now.Add(restTime)
 	assert.Equal(t, poo.Size(), 1)
 	ask.gate <- nil
-	ans, err := poo.Ask(context.Background(), Question{})
+	ans, err := poo.Ask(context.Background(), Query{})
 	assert.NilError(t, err)
 	assert.Equal(t, ans.Sent, now)
 }
@@ -86,10 +86,10 @@
 	defer srv.Close()
 	rem := dialRemote(strings.TrimPrefix(srv.URL, "http://"))
 	ask.gate <- nil
-	tks, err := rem.Ask(context.Background(), Question{Job: "j", VMs: []string{"vm"}})
+	tks, err := rem.Ask(context.Background(), Query{Job: "j", VMs: []string{"vm"}})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, tks, Tickets{ByVM: map[string]string{"vm": "t"}, Valid: time.Second})
 	ask.gate <- errors.New("status 429")
-	_, err = rem.Ask(context.Background(), Question{})
+	_, err = rem.Ask(context.Background(), Query{})
 	assert.ErrorContains(t, err, "status 503")
 }
--- a/internal/advisory/question.go
+++ b/internal/advisory/question.go
@@ -7,8 +7,8 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/job"
 )
 
-// Question asks which VMs may run a step of one occurrence of a job.
-type Question struct {
+// Query asks which VMs may run a step of one occurrence of a job.
+type Query struct {
 	Job        job.ID   `msgpack:"j"`
 	Occurrence int      `msgpack:"o"`
 	Step       int      `msgpack:"s"`
@@ -25,5 +25,5 @@
 
 // Asker puts questions to the advisor.
 type Asker interface {
-	Ask(ctx context.Context, que Question) (tks Tickets, err error)
+	Ask(ctx context.Context, que Query) (tks Tickets, err error)
 }
--- a/internal/advisory/relay.go
+++ b/internal/advisory/relay.go
@@ -33,7 +33,7 @@
 }
 
 // Ask puts a question in its turn.
-func (rel *Relay) Ask(ctx context.Context, que Question) (tks Tickets, err error) {
+func (rel *Relay) Ask(ctx context.Context, que Query) (tks Tickets, err error) {
 	select {
 	case rel.turn <- struct{}{}:
 		defer func() { <-rel.turn }()
@@ -45,7 +45,7 @@
 
 // ServeHTTP serves a question.
 func (rel *Relay) ServeHTTP(wri http.ResponseWriter, req *http.Request) {
-	var que Question
+	var que Query
 	raw, err := io.ReadAll(io.LimitReader(req.Body, maxBody))
 	if err == nil {
 		err = msgpack.Unmarshal(raw, &que)
@@ -80,7 +80,7 @@
 }
 
 // Ask puts a question.
-func (rem *remote) Ask(ctx context.Context, que Question) (tks Tickets, err error) {
+func (rem *remote) Ask(ctx context.Context, que Query) (tks Tickets, err error) {
 	raw, err := msgpack.Marshal(&que)
 	if err != nil {
 		return Tickets{}, err
--- a/internal/outernames/names_test.go
+++ b/internal/outernames/names_test.go
@@ -47,7 +47,7 @@
 	{"workers task", "json", event.WorkerTask{}},
 	{"workers attempt", "json", effect.TaskAttempt{}},
 	{"platform vm", "json", vm.VM{}},
-	{"advisory question", "msgpack", advisory.Question{}},
+	{"advisory question", "msgpack", advisory.Query{}},
 	{"advisory tickets", "msgpack", advisory.Tickets{}},
 	{"peers hello", "json", peerlink.Hello{}},
 }
