--- a/internal/advisory/pool.go
+++ b/internal/advisory/pool.go
@@ -24,7 +24,7 @@
 }
 
 type member struct {
-	asker Asker
+	asker TicketSource
 	busy  bool
 	// rests is until when it gets no questions.
 	rests time.Time
@@ -36,7 +36,7 @@
 }
 
 // Set replaces the askers by those of the given names; dial makes new ones.
-func (poo *Pool) Set(names []string, dial func(name string) Asker) {
+func (poo *Pool) Set(names []string, dial func(name string) TicketSource) {
 	poo.mu.Lock()
 	defer poo.mu.Unlock()
 	for name := range poo.askers {
--- a/internal/advisory/pool_test.go
+++ b/internal/advisory/pool_test.go
@@ -35,7 +35,7 @@
 	now := time.Unix(1000, 0)
 	poo := NewPool(func() time.Time { return now })
 	askers := map[string]*gatedAsker{"a": {gate: make(chan error)}, "b": {gate: make(chan error)}}
-	poo.Set([]string{"a", "b"}, func(name string) Asker { return askers[name] })
+	poo.Set([]string{"a", "b"}, func(name string) TicketSource { return askers[name] })
 	answers := make(chan error, 3)
 	for range 3 {
 		go func() {
@@ -61,7 +61,7 @@
 	now := time.Unix(1000, 0)
 	poo := NewPool(func() time.Time { return now })
 	ask := &gatedAsker{gate: make(chan error, 1)}
-	poo.Set([]string{"a"}, func(string) Asker { return ask })
+	poo.Set([]string{"a"}, func(string) TicketSource { return ask })
 	ask.gate <- errors.New("connection reset")
 	_, err := poo.Ask(context.Background(), Query{Job: "j", Step: 2})
 	assert.ErrorContains(t, err, "step 2 of job j by a: connection reset")
--- a/internal/advisory/question.go
+++ b/internal/advisory/question.go
@@ -23,7 +23,7 @@
 	Valid time.Duration `msgpack:"v"`
 }
 
-// Asker puts questions to the advisor.
-type Asker interface {
+// TicketSource puts questions to the advisor.
+type TicketSource interface {
 	Ask(ctx context.Context, que Query) (tks Tickets, err error)
 }
--- a/internal/advisory/registry.go
+++ b/internal/advisory/registry.go
@@ -100,7 +100,7 @@
 	Pool  *Pool
 	// Name is the entry's own, Own its asker.
 	Name string
-	Own  Asker
+	Own  TicketSource
 	// Wait is how long a watch of the registrations waits.
 	Wait time.Duration
 	Log  *decisionlog.Log
@@ -149,7 +149,7 @@
 			names = append(names, address)
 		}
 	}
-	wat.Pool.Set(names, func(name string) Asker {
+	wat.Pool.Set(names, func(name string) TicketSource {
 		if name == own {
 			return wat.Own
 		}
--- a/internal/advisory/relay.go
+++ b/internal/advisory/relay.go
@@ -22,13 +22,13 @@
 
 // Relay serves questions of other entries, one at a time.
 type Relay struct {
-	asker Asker
+	asker TicketSource
 	log   *decisionlog.Log
 	turn  chan struct{}
 }
 
 // NewRelay returns a handler that puts questions by an asker.
-func NewRelay(ask Asker, log *decisionlog.Log) *Relay {
+func NewRelay(ask TicketSource, log *decisionlog.Log) *Relay {
 	return &Relay{asker: ask, log: log, turn: make(chan struct{}, 1)}
 }
 
@@ -75,7 +75,7 @@
 }
 
 // dialRemote returns an asker at an entry's address.
-func dialRemote(address string) Asker {
+func dialRemote(address string) TicketSource {
 	return &remote{url: "http://" + address + Path, client: &http.Client{Transport: transport.New(1)}}
 }
 
