--- a/internal/advisory/fuzz_test.go
+++ b/internal/advisory/fuzz_test.go
@@ -15,7 +15,7 @@
 
 type emptyAsker struct{}
 
-func (emptyAsker) Ask(context.Context, Query) (Tickets, error) { return Tickets{}, nil }
+func (emptyAsker) RequestTickets(context.Context, Query) (Tickets, error) { return Tickets{}, nil }
 
 // FuzzQuestion serves questions of other entries. Each is answered or refused.
 func FuzzQuestion(f *testing.F) {
--- a/internal/advisory/pool.go
+++ b/internal/advisory/pool.go
@@ -79,7 +79,7 @@
 		return Answer{}, err
 	}
 	ans.Sent = poo.now()
-	ans.Tickets, err = mem.asker.Ask(ctx, que)
+	ans.Tickets, err = mem.asker.RequestTickets(ctx, que)
 	poo.release(mem, err == nil)
 	if err != nil {
 		return Answer{}, fmt.Errorf("step %d of job %s by %s: %w", que.Step, que.Job, name, err)
--- a/internal/advisory/pool_test.go
+++ b/internal/advisory/pool_test.go
@@ -20,7 +20,7 @@
 	asked atomic.Int32
 }
 
-func (ask *gatedAsker) Ask(ctx context.Context, _ Query) (Tickets, error) {
+func (ask *gatedAsker) RequestTickets(ctx context.Context, _ Query) (Tickets, error) {
 	ask.asked.Add(1)
 	select {
 	case err := <-ask.gate:
@@ -86,10 +86,10 @@
 	defer srv.Close()
 	rem := dialRemote(strings.TrimPrefix(srv.URL, "http://"))
 	ask.gate <- nil
-	tks, err := rem.Ask(context.Background(), Query{Job: "j", VMs: []string{"vm"}})
+	tks, err := rem.RequestTickets(context.Background(), Query{Job: "j", VMs: []string{"vm"}})
 	assert.NilError(t, err)
 	assert.DeepEqual(t, tks, Tickets{ByVM: map[string]string{"vm": "t"}, Valid: time.Second})
 	ask.gate <- errors.New("status 429")
-	_, err = rem.Ask(context.Background(), Query{})
+	_, err = rem.RequestTickets(context.Background(), Query{})
 	assert.ErrorContains(t, err, "status 503")
 }
--- a/internal/advisory/question.go
+++ b/internal/advisory/question.go
@@ -25,5 +25,5 @@
 
 // TicketSource puts questions to the advisor.
 type TicketSource interface {
-	Ask(ctx context.Context, que Query) (tks Tickets, err error)
+	RequestTickets(ctx context.Context, que Query) (tks Tickets, err error)
 }
--- a/internal/advisory/relay.go
+++ b/internal/advisory/relay.go
@@ -32,15 +32,15 @@
 	return &Relay{asker: ask, log: log, turn: make(chan struct{}, 1)}
 }
 
-// Ask puts a question in its turn.
-func (rel *Relay) Ask(ctx context.Context, que Query) (tks Tickets, err error) {
+// RequestTickets puts a question in its turn.
+func (rel *Relay) RequestTickets(ctx context.Context, que Query) (tks Tickets, err error) {
 	select {
 	case rel.turn <- struct{}{}:
 		defer func() { <-rel.turn }()
 	case <-ctx.Done():
 		return Tickets{}, ctx.Err()
 	}
-	return rel.asker.Ask(ctx, que)
+	return rel.asker.RequestTickets(ctx, que)
 }
 
 // ServeHTTP serves a question.
@@ -55,7 +55,7 @@
 		wri.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	tks, err := rel.Ask(req.Context(), que)
+	tks, err := rel.RequestTickets(req.Context(), que)
 	if err == nil {
 		raw, err = msgpack.Marshal(&tks)
 	}
@@ -79,8 +79,8 @@
 	return &remote{url: "http://" + address + Path, client: &http.Client{Transport: transport.New(1)}}
 }
 
-// Ask puts a question.
-func (rem *remote) Ask(ctx context.Context, que Query) (tks Tickets, err error) {
+// RequestTickets puts a question.
+func (rem *remote) RequestTickets(ctx context.Context, que Query) (tks Tickets, err error) {
 	raw, err := msgpack.Marshal(&que)
 	if err != nil {
 		return Tickets{}, err
