--- a/internal/advisory/pool.go
+++ b/internal/advisory/pool.go
@@ -72,8 +72,8 @@
 	Sent time.Time
 }
 
-// Ask puts a question by the next asker that is free.
-func (poo *Pool) Ask(ctx context.Context, que Query) (ans Answer, err error) {
+// RequestTickets puts a question by the next asker that is free.
+func (poo *Pool) RequestTickets(ctx context.Context, que Query) (ans Answer, err error) {
 	name, mem, err := poo.take(ctx)
 	if err != nil {
 		return Answer{}, err
--- a/internal/advisory/pool_test.go
+++ b/internal/advisory/pool_test.go
@@ -39,7 +39,7 @@
 	answers := make(chan error, 3)
 	for range 3 {
 		go func() {
-			_, err := poo.Ask(context.Background(), Query{Job: "j"})
+			_, err := poo.RequestTickets(context.Background(), Query{Job: "j"})
 			answers <- err
 		}()
 	}
@@ -63,17 +63,17 @@
 	ask := &gatedAsker{gate: make(chan error, 1)}
 	poo.Set([]string{"a"}, func(string) TicketSource { return ask })
 	ask.gate <- errors.New("connection reset")
-	_, err := poo.Ask(context.Background(), Query{Job: "j", Step: 2})
+	_, err := poo.RequestTickets(context.Background(), Query{Job: "j", Step: 2})
 	assert.ErrorContains(t, err, "step 2 of job j by a: connection reset")
 	assert.Equal(t, poo.Size(), 0)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = poo.Ask(ctx, Query{})
+	_, err = poo.RequestTickets(ctx, Query{})
 	assert.ErrorContains(t, err, "no asker is free")
 	now = now.Add(restTime)
 	assert.Equal(t, poo.Size(), 1)
 	ask.gate <- nil
-	ans, err := poo.Ask(context.Background(), Query{})
+	ans, err := poo.RequestTickets(context.Background(), Query{})
 	assert.NilError(t, err)
 	assert.Equal(t, ans.Sent, now)
 }
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -131,7 +131,7 @@
 	evt := scheduler.Advised{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs}
 	ask, cancel := context.WithTimeout(ctx, advisory.Timeout(eff.Decision))
 	defer cancel()
-	ans, err := dis.askers.Ask(ask, advisory.Query{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs})
+	ans, err := dis.askers.RequestTickets(ask, advisory.Query{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs})
 	if err != nil {
 		dis.nod.log.Event("no_advice", decisionlog.Fields{"job": string(eff.Job), "step": eff.Step, "error": err.Error()})
 	} else {
