--- a/internal/advisory/pool.go
+++ b/internal/advisory/pool.go
@@ -52,8 +52,8 @@
 	poo.turn()
 }
 
-// Size returns how many askers don't rest.
-func (poo *Pool) Size() (n int) {
+// Available returns how many askers don't rest.
+func (poo *Pool) Available() (n int) {
 	poo.mu.Lock()
 	defer poo.mu.Unlock()
 	now := poo.now()
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -100,7 +100,7 @@
 			// The answers that came are kept until the duty is sure again.
 			continue
 		}
-		if size := dis.askers.Size(); size != dis.asked {
+		if size := dis.askers.Available(); size != dis.asked {
 			dis.asked = size
 			batch = append(batch, scheduler.AskersChanged{Count: size})
 		}
