--- a/internal/advisory/registry.go
+++ b/internal/advisory/registry.go
@@ -93,9 +93,9 @@
 	return nil
 }
 
-// Watch keeps a pool's askers up to date: those that are registered, and the
+// Watcher keeps a pool's askers up to date: those that are registered, and the
 // entry's own.
-type Watch struct {
+type Watcher struct {
 	Store kv.Store
 	Pool  *Pool
 	// Name is the entry's own, Own its asker.
@@ -111,13 +111,13 @@
 }
 
 // Run follows the registrations until the context is done.
-func (wat *Watch) Run(ctx context.Context) {
+func (wat *Watcher) Run(ctx context.Context) {
 	wat.reset(nil)
 	fol := &follow.Follower{Store: wat.Store, Prefix: Prefix, Wait: wat.Wait, Log: wat.Log, Now: wat.Now, Reset: wat.reset, Change: wat.change}
 	fol.Run(ctx)
 }
 
-func (wat *Watch) reset(items []kv.Item) {
+func (wat *Watcher) reset(items []kv.Item) {
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
 	wat.addresses = map[string]string{}
@@ -127,7 +127,7 @@
 	wat.apply()
 }
 
-func (wat *Watch) change(cha kv.Change) {
+func (wat *Watcher) change(cha kv.Change) {
 	wat.mu.Lock()
 	defer wat.mu.Unlock()
 	name := strings.TrimPrefix(cha.Item.Key, Prefix)
@@ -141,7 +141,7 @@
 
 // apply sets the pool's askers, named by address so that an entry that came back
 // elsewhere is a new one.
-func (wat *Watch) apply() {
+func (wat *Watcher) apply() {
 	own := wat.Name
 	names := []string{own}
 	for name, address := range wat.addresses {
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -125,7 +125,7 @@
 			return
 		}
 	}
-	wat := &advisory.Watch{
+	wat := &advisory.Watcher{
 		Store: dis.nod.store, Pool: dis.askers, Name: dis.nod.settings().Name, Own: dis.nod.relay, Wait: askersWatch,
 		Log: dis.nod.log, Now: dis.nod.now,
 	}
