--- a/internal/advisory/registry.go
+++ b/internal/advisory/registry.go
@@ -100,7 +100,7 @@
 	Pool  *Pool
 	// Name is the entry's own, Own its asker.
 	Name string
-	Own  TicketSource
+	Local  TicketSource
 	// Wait is how long a watch of the registrations waits.
 	Wait time.Duration
 	Log  *decisionlog.Log
@@ -151,7 +151,7 @@
 	}
 	wat.Pool.Set(names, func(name string) TicketSource {
 		if name == own {
-			return wat.Own
+			return wat.Local
 		}
 		return dialRemote(name)
 	})
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -126,7 +126,7 @@
 		}
 	}
 	wat := &advisory.Watcher{
-		Store: dis.nod.store, Pool: dis.askers, Name: dis.nod.settings().Name, Own: dis.nod.relay, Wait: askersWatch,
+		Store: dis.nod.store, Pool: dis.askers, Name: dis.nod.settings().Name, Local: dis.nod.relay, Wait: askersWatch,
 		Log: dis.nod.log, Now: dis.nod.now,
 	}
 	wat.Run(ctx)
