--- a/internal/advisory/relay.go
+++ b/internal/advisory/relay.go
@@ -105,6 +105,6 @@
 	return tks, err
 }
 
-// Timeout returns how long a question may take whose decision takes a span: the
+// QueryTimeout returns how long a question may take whose decision takes a span: the
 // answer crosses two links, and a busy entry answers late.
-func Timeout(decision time.Duration) time.Duration { return 2*decision + time.Second }
+func QueryTimeout(decision time.Duration) time.Duration { return 2*decision + time.Second }
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -129,7 +129,7 @@
 
 func (dis *dispatcher) advise(ctx context.Context, eff scheduler.Advise) {
 	evt := scheduler.Advised{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs}
-	ask, cancel := context.WithTimeout(ctx, advisory.Timeout(eff.Decision))
+	ask, cancel := context.WithTimeout(ctx, advisory.QueryTimeout(eff.Decision))
 	defer cancel()
 	ans, err := dis.askers.RequestTickets(ask, advisory.Query{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs})
 	if err != nil {
