--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -42,8 +42,8 @@
 // LargestKey holds the processors of the largest VM, in cores.
 const LargestKey = "duty/largest"
 
-// Keeper contends for the duty and keeps it.
-type Keeper struct {
+// Elector contends for the duty and keeps it.
+type Elector struct {
 	opt Options
 	// largest holds the processors of the largest VM, as float64 bits.
 	largest atomic.Uint64
@@ -67,10 +67,10 @@
 }
 
 // New returns a keeper that doesn't contend yet.
-func New(opt Options) *Keeper { return &Keeper{opt: opt, freed: make(chan struct{}, 1)} }
+func New(opt Options) *Elector { return &Elector{opt: opt, freed: make(chan struct{}, 1)} }
 
 // Freed says that the duty may be free.
-func (kee *Keeper) Freed() {
+func (kee *Elector) Freed() {
 	select {
 	case kee.freed <- struct{}{}:
 	default:
@@ -105,7 +105,7 @@
 }
 
 // Run contends until the context is done.
-func (kee *Keeper) Run(ctx context.Context) {
+func (kee *Elector) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		ten, err := kee.claim(ctx)
 		if err != nil {
@@ -124,7 +124,7 @@
 }
 
 // await waits until the duty may be free.
-func (kee *Keeper) await(ctx context.Context) {
+func (kee *Elector) await(ctx context.Context) {
 	tim := time.NewTimer(claimCheck)
 	defer tim.Stop()
 	select {
@@ -136,7 +136,7 @@
 }
 
 // relativeSize returns this VM's processors as a part of the largest VM's.
-func (kee *Keeper) relativeSize() float64 {
+func (kee *Elector) relativeSize() float64 {
 	largest := math.Float64frombits(kee.largest.Load())
 	if largest <= 0 {
 		return 1
@@ -146,7 +146,7 @@
 
 // SawLargest takes in the largest VM that the store knows, and writes this one
 // if it is larger.
-func (kee *Keeper) SawLargest(itm kv.Item) {
+func (kee *Elector) SawLargest(itm kv.Item) {
 	size, err := strconv.ParseFloat(string(itm.Value), 64)
 	if err != nil && itm.Revision != 0 {
 		kee.opt.Log.Event("entry_ignored", decisionlog.Fields{"key": itm.Key, "revision": itm.Revision, "error": err.Error()})
@@ -170,7 +170,7 @@
 }
 
 // shouldGiveBack reports whether a small holder leaves the duty to larger VMs.
-func (kee *Keeper) shouldGiveBack(held time.Duration, now time.Time) bool {
+func (kee *Elector) shouldGiveBack(held time.Duration, now time.Time) bool {
 	if kee.relativeSize() >= smallShare || held < smallTenure {
 		return false
 	}
@@ -178,7 +178,7 @@
 }
 
 // claim takes the duty. It returns nil if another process holds it.
-func (kee *Keeper) claim(ctx context.Context) (ten *Tenure, err error) {
+func (kee *Elector) claim(ctx context.Context) (ten *Tenure, err error) {
 	ask, cancel := context.WithTimeout(ctx, follow.ReadTimeout)
 	defer cancel()
 	_, err = kee.opt.Store.Get(ask, duty.HolderKey)
@@ -219,7 +219,7 @@
 }
 
 // release ends a lease, so that others needn't wait for its end.
-func (kee *Keeper) release(lea kv.LeaseID) {
+func (kee *Elector) release(lea kv.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
 	defer cancel()
 	if err := kee.opt.Store.EndLease(ctx, lea); err != nil && !errors.Is(err, kv.ErrLeaseGone) {
@@ -229,7 +229,7 @@
 
 // serve runs the dispatcher and renews the lease until it is lost, or until the
 // context is done.
-func (kee *Keeper) serve(ctx context.Context, ten *Tenure) {
+func (kee *Elector) serve(ctx context.Context, ten *Tenure) {
 	work, lose := context.WithCancel(ctx)
 	defer lose()
 	ten.lose = lose
@@ -247,7 +247,7 @@
 	kee.release(cur.Lease)
 }
 
-func (kee *Keeper) renew(ctx context.Context, ten *Tenure) {
+func (kee *Elector) renew(ctx context.Context, ten *Tenure) {
 	lease := ten.Current().Lease
 	for ctx.Err() == nil {
 		clock.Pause(ctx, duty.RenewEvery)
--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -58,7 +58,7 @@
 	relay     *advisory.Relay
 	operator  *operatorView
 	load      *loadView
-	election  *election.Keeper
+	election  *election.Elector
 	metrics   metrics.Registry
 }
 
