--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -69,8 +69,8 @@
 // New returns a keeper that doesn't contend yet.
 func New(opt Options) *Elector { return &Elector{opt: opt, freed: make(chan struct{}, 1)} }
 
-// Freed says that the duty may be free.
-func (kee *Elector) Freed() {
+// NotifyReleased says that the duty may be free.
+func (kee *Elector) NotifyReleased() {
 	select {
 	case kee.freed <- struct{}{}:
 	default:
--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -237,7 +237,7 @@
 	}
 	nod.election.SawLargest(largest)
 	if !held {
-		nod.election.Freed()
+		nod.election.NotifyReleased()
 	}
 }
 
@@ -245,7 +245,7 @@
 	switch cha.Item.Key {
 	case duty.HolderKey:
 		if cha.Deleted {
-			nod.election.Freed()
+			nod.election.NotifyReleased()
 		}
 	case election.LargestKey:
 		nod.election.SawLargest(cha.Item)
