--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -144,9 +144,9 @@
 	return min(1, kee.opt.CPUShare/largest)
 }
 
-// SawLargest takes in the largest VM that the store knows, and writes this one
+// ObserveLargest takes in the largest VM that the store knows, and writes this one
 // if it is larger.
-func (kee *Elector) SawLargest(itm kv.Item) {
+func (kee *Elector) ObserveLargest(itm kv.Item) {
 	size, err := strconv.ParseFloat(string(itm.Value), 64)
 	if err != nil && itm.Revision != 0 {
 		kee.opt.Log.Event("entry_ignored", decisionlog.Fields{"key": itm.Key, "revision": itm.Revision, "error": err.Error()})
--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -235,7 +235,7 @@
 		nod.dutyChanged(kv.Change{Item: itm})
 		held = held || itm.Key == duty.HolderKey
 	}
-	nod.election.SawLargest(largest)
+	nod.election.ObserveLargest(largest)
 	if !held {
 		nod.election.NotifyReleased()
 	}
@@ -248,7 +248,7 @@
 			nod.election.NotifyReleased()
 		}
 	case election.LargestKey:
-		nod.election.SawLargest(cha.Item)
+		nod.election.ObserveLargest(cha.Item)
 	case loadKey:
 		if !cha.Deleted {
 			nod.load.change(cha.Item)
