--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -85,8 +85,8 @@
 	lose context.CancelFunc
 }
 
-// Lose ends the dispatcher: another process has the duty.
-func (ten *Tenure) Lose() { ten.lose() }
+// End ends the dispatcher: another process has the duty.
+func (ten *Tenure) End() { ten.lose() }
 
 // Current returns the tenure as it stands.
 func (ten *Tenure) Current() duty.Tenure {
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -388,7 +388,7 @@
 	rev, err = dis.nod.store.Commit(ask, txn)
 	var con *kv.ConflictError
 	if errors.As(err, &con) && con.Item(duty.HolderKey).Revision != held.Revision {
-		dis.ten.Lose()
+		dis.ten.End()
 		return 0, errDutyLost
 	}
 	return rev, err
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -64,7 +64,7 @@
 		dis.nod.executors.Forget(eff.VM.Address)
 	case scheduler.GiveUp:
 		dis.nod.log.Event("duty_given_up", decisionlog.Fields{"reason": eff.Reason})
-		dis.ten.Lose()
+		dis.ten.End()
 	case scheduler.Note:
 		dis.note(eff)
 	default:
