--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -13,8 +13,8 @@
 
 // Times of watches.
 const (
-	// Retry is the pause after a read of the store that failed.
-	Retry = 100 * time.Millisecond
+	// RetryDelay is the pause after a read of the store that failed.
+	RetryDelay = 100 * time.Millisecond
 	// ReadTimeout bounds a read of the store.
 	ReadTimeout = 1200 * time.Millisecond
 )
@@ -42,7 +42,7 @@
 	for ctx.Err() == nil {
 		rev, ok := fol.list(ctx)
 		if !ok {
-			clock.Pause(ctx, Retry)
+			clock.Pause(ctx, RetryDelay)
 			continue
 		}
 		fol.watch(ctx, rev)
@@ -80,7 +80,7 @@
 				fol.Log.Event("store_lost", decisionlog.Fields{"prefix": fol.Prefix, "error": err.Error()})
 			}
 			failed = true
-			clock.Pause(ctx, Retry)
+			clock.Pause(ctx, RetryDelay)
 			continue
 		}
 		if failed {
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -236,7 +236,7 @@
 			return items, true
 		}
 		dis.nod.log.Event("store_read_failed", decisionlog.Fields{"prefix": prefix, "error": err.Error()})
-		clock.Pause(ctx, follow.Retry)
+		clock.Pause(ctx, follow.RetryDelay)
 	}
 	return nil, false
 }
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -193,7 +193,7 @@
 			return
 		}
 		dis.nod.log.Event("wave_not_saved", decisionlog.Fields{"wave": eff.Number, "error": err.Error()})
-		clock.Pause(ctx, follow.Retry)
+		clock.Pause(ctx, follow.RetryDelay)
 	}
 }
 
@@ -213,7 +213,7 @@
 			return begun, true
 		}
 		dis.nod.log.Event("store_read_failed", decisionlog.Fields{"prefix": wavePrefix, "error": err.Error()})
-		clock.Pause(ctx, follow.Retry)
+		clock.Pause(ctx, follow.RetryDelay)
 	}
 	return nil, false
 }
