--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -342,8 +342,8 @@
 	return unavailable("the job changed again and again")
 }
 
-// Count tells how many jobs of a queue have not begun.
-func (des *JobService) Count(ctx context.Context, now time.Time, cal Call) Answer {
+// CountPending tells how many jobs of a queue have not begun.
+func (des *JobService) CountPending(ctx context.Context, now time.Time, cal Call) Answer {
 	que, _, ans := des.resolve(now, des.View(), cal)
 	if que == nil {
 		return ans
