--- a/internal/advisory/pool.go
+++ b/internal/advisory/pool.go
@@ -24,7 +24,7 @@
 }
 
 type member struct {
-	asker Asker
+	asker TicketSource
 	busy  bool
 	// rests is until when it gets no questions.
 	rests time.Time
@@ -36,7 +36,7 @@
 }
 
 // Set replaces the askers by those of the given names; dial makes new ones.
-func (poo *Pool) Set(names []string, dial func(name string) Asker) {
+func (poo *Pool) Set(names []string, dial func(name string) TicketSource) {
 	poo.mu.Lock()
 	defer poo.mu.Unlock()
 	for name := range poo.askers {
@@ -52,8 +52,8 @@
 	poo.turn()
 }
 
-// Size returns how many askers don't rest.
-func (poo *Pool) Size() (n int) {
+// Available returns how many askers don't rest.
+func (poo *Pool) Available() (n int) {
 	poo.mu.Lock()
 	defer poo.mu.Unlock()
 	now := poo.now()
@@ -72,14 +72,14 @@
 	Sent time.Time
 }
 
-// Ask puts a question by the next asker that is free.
-func (poo *Pool) Ask(ctx context.Context, que Question) (ans Answer, err error) {
+// RequestTickets puts a question by the next asker that is free.
+func (poo *Pool) RequestTickets(ctx context.Context, que Query) (ans Answer, err error) {
 	name, mem, err := poo.take(ctx)
 	if err != nil {
 		return Answer{}, err
 	}
 	ans.Sent = poo.now()
-	ans.Tickets, err = mem.asker.Ask(ctx, que)
+	ans.Tickets, err = mem.asker.RequestTickets(ctx, que)
 	poo.release(mem, err == nil)
 	if err != nil {
 		return Answer{}, fmt.Errorf("step %d of job %s by %s: %w", que.Step, que.Job, name, err)
--- a/internal/advisory/relay.go
+++ b/internal/advisory/relay.go
@@ -22,30 +22,30 @@
 
 // Relay serves questions of other entries, one at a time.
 type Relay struct {
-	asker Asker
+	asker TicketSource
 	log   *decisionlog.Log
 	turn  chan struct{}
 }
 
 // NewRelay returns a handler that puts questions by an asker.
-func NewRelay(ask Asker, log *decisionlog.Log) *Relay {
+func NewRelay(ask TicketSource, log *decisionlog.Log) *Relay {
 	return &Relay{asker: ask, log: log, turn: make(chan struct{}, 1)}
 }
 
-// Ask puts a question in its turn.
-func (rel *Relay) Ask(ctx context.Context, que Question) (tks Tickets, err error) {
+// RequestTickets puts a question in its turn.
+func (rel *Relay) RequestTickets(ctx context.Context, que Query) (tks Tickets, err error) {
 	select {
 	case rel.turn <- struct{}{}:
 		defer func() { <-rel.turn }()
 	case <-ctx.Done():
 		return Tickets{}, ctx.Err()
 	}
-	return rel.asker.Ask(ctx, que)
+	return rel.asker.RequestTickets(ctx, que)
 }
 
 // ServeHTTP serves a question.
 func (rel *Relay) ServeHTTP(wri http.ResponseWriter, req *http.Request) {
-	var que Question
+	var que Query
 	raw, err := io.ReadAll(io.LimitReader(req.Body, maxBody))
 	if err == nil {
 		err = msgpack.Unmarshal(raw, &que)
@@ -55,7 +55,7 @@
 		wri.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	tks, err := rel.Ask(req.Context(), que)
+	tks, err := rel.RequestTickets(req.Context(), que)
 	if err == nil {
 		raw, err = msgpack.Marshal(&tks)
 	}
@@ -75,12 +75,12 @@
 }
 
 // dialRemote returns an asker at an entry's address.
-func dialRemote(address string) Asker {
+func dialRemote(address string) TicketSource {
 	return &remote{url: "http://" + address + Path, client: &http.Client{Transport: transport.New(1)}}
 }
 
-// Ask puts a question.
-func (rem *remote) Ask(ctx context.Context, que Question) (tks Tickets, err error) {
+// RequestTickets puts a question.
+func (rem *remote) RequestTickets(ctx context.Context, que Query) (tks Tickets, err error) {
 	raw, err := msgpack.Marshal(&que)
 	if err != nil {
 		return Tickets{}, err
@@ -105,6 +105,6 @@
 	return tks, err
 }
 
-// Timeout returns how long a question may take whose decision takes a span: the
+// QueryTimeout returns how long a question may take whose decision takes a span: the
 // answer crosses two links, and a busy entry answers late.
-func Timeout(decision time.Duration) time.Duration { return 2*decision + time.Second }
+func QueryTimeout(decision time.Duration) time.Duration { return 2*decision + time.Second }
--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -58,7 +58,7 @@
 	relay     *advisory.Relay
 	operator  *operatorView
 	load      *loadView
-	election  *election.Keeper
+	election  *election.Elector
 	metrics   metrics.Registry
 }
 
@@ -164,16 +164,16 @@
 )
 
 func (nod *Node) ingress() http.Handler {
-	desk := &intake.Desk{
+	desk := &intake.JobService{
 		Store: nod.store, ConfigKey: platform.ConfigKey,
 		Freshness: nod.freshness,
 		View:      nod.operator.current, Admit: nod.load.admit, Pending: nod.load.pending,
 	}
-	return &platform.Ingress{Desk: desk, Now: nod.now, Done: nod.called}
+	return &platform.Ingress{JobService: desk, Now: nod.now, AfterCall: nod.called}
 }
 
 func (nod *Node) freshness() intake.Freshness {
-	keyed := time.Duration(float64(nod.settings().Bounds.Revoke) * keyedShare)
+	keyed := time.Duration(float64(nod.settings().Bounds.KeyRevocation) * keyedShare)
 	return intake.Freshness{Keyed: keyed, Denied: deniedAge, Write: writeAge}
 }
 
@@ -196,7 +196,7 @@
 // its configuration, takes no new connections.
 func (nod *Node) ready(ctx context.Context) http.HandlerFunc {
 	return func(wri http.ResponseWriter, _ *http.Request) {
-		bound := time.Duration(float64(nod.settings().Bounds.Revoke) * readyShare)
+		bound := time.Duration(float64(nod.settings().Bounds.KeyRevocation) * readyShare)
 		vie := nod.operator.current()
 		if ctx.Err() != nil || vie.Confirmed.IsZero() || nod.now().Sub(vie.Confirmed) > bound {
 			wri.WriteHeader(http.StatusServiceUnavailable)
@@ -235,9 +235,9 @@
 		nod.dutyChanged(kv.Change{Item: itm})
 		held = held || itm.Key == duty.HolderKey
 	}
-	nod.election.SawLargest(largest)
+	nod.election.ObserveLargest(largest)
 	if !held {
-		nod.election.Freed()
+		nod.election.NotifyReleased()
 	}
 }
 
@@ -245,10 +245,10 @@
 	switch cha.Item.Key {
 	case duty.HolderKey:
 		if cha.Deleted {
-			nod.election.Freed()
+			nod.election.NotifyReleased()
 		}
 	case election.LargestKey:
-		nod.election.SawLargest(cha.Item)
+		nod.election.ObserveLargest(cha.Item)
 	case loadKey:
 		if !cha.Deleted {
 			nod.load.change(cha.Item)
