--- a/internal/advisory/registry.go
+++ b/internal/advisory/registry.go
@@ -99,8 +99,8 @@
 	Store kv.Store
 	Pool  *Pool
 	// Name is the entry's own, Own its asker.
-	Name string
-	Local  TicketSource
+	Name  string
+	Local TicketSource
 	// Wait is how long a watch of the registrations waits.
 	Wait time.Duration
 	Log  *decisionlog.Log
