--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -85,8 +85,8 @@
 	MayMiss int `msgpack:"mm,omitempty"`
 }
 
-// Room returns what a task takes of a VM's capacity.
-func (ste Step) Room() Size {
+// Reservation returns what a task takes of a VM's capacity.
+func (ste Step) Reservation() Size {
 	siz := ste.Size
 	if ste.Fills {
 		siz.CPU = 0
@@ -112,8 +112,8 @@
 	Interval time.Duration `msgpack:"iv,omitempty"`
 }
 
-// Runs returns how often the steps run, at least 1.
-func (spe Spec) Runs() int { return max(1, spe.Occurrences) }
+// OccurrenceCount returns how often the steps run, at least 1.
+func (spe Spec) OccurrenceCount() int { return max(1, spe.Occurrences) }
 
 // Due returns when an occurrence may start.
 func (spe Spec) Due(occ int) time.Time {
@@ -123,8 +123,8 @@
 	return spe.FirstDue.Add(time.Duration(occ) * spe.Interval)
 }
 
-// Lasts reports whether the job runs until it is cancelled.
-func (spe Spec) Lasts() bool {
+// IsLongRunning reports whether the job runs until it is cancelled.
+func (spe Spec) IsLongRunning() bool {
 	for _, ste := range spe.Steps {
 		if ste.LongRunning {
 			return true
@@ -142,9 +142,9 @@
 	return sum
 }
 
-// Chain returns the longest chain of those steps that count, each as long as span
+// CriticalPath returns the longest chain of those steps that count, each as long as span
 // says. A nil function counts all steps, or takes the estimates.
-func (spe Spec) Chain(counts func(step int) bool, span func(ste Step) time.Duration) (longest time.Duration) {
+func (spe Spec) CriticalPath(counts func(step int) bool, span func(ste Step) time.Duration) (longest time.Duration) {
 	ends := make([]time.Duration, len(spe.Steps))
 	for i, ste := range spe.Steps {
 		for _, dep := range ste.After {
@@ -169,10 +169,10 @@
 	MaxTasks = 10_000
 	// MaxSteps bounds the steps.
 	MaxSteps = 1000
-	// MaxRuns bounds the occurrences.
-	MaxRuns = 10_000
-	// MaxAllTasks bounds the tasks of all steps and occurrences.
-	MaxAllTasks = 50_000
+	// MaxOccurrences bounds the occurrences.
+	MaxOccurrences = 10_000
+	// MaxTotalTasks bounds the tasks of all steps and occurrences.
+	MaxTotalTasks = 50_000
 )
 
 // Check returns what is wrong with a job.
@@ -180,8 +180,8 @@
 	if len(spe.Steps) == 0 || len(spe.Steps) > MaxSteps {
 		return fmt.Errorf("job %s has %d steps, not 1 to %d", spe.ID, len(spe.Steps), MaxSteps)
 	}
-	if spe.Occurrences < 0 || spe.Occurrences > MaxRuns || spe.Interval < 0 {
-		return fmt.Errorf("job %s has %d occurrences every %v, not up to %d", spe.ID, spe.Occurrences, spe.Interval, MaxRuns)
+	if spe.Occurrences < 0 || spe.Occurrences > MaxOccurrences || spe.Interval < 0 {
+		return fmt.Errorf("job %s has %d occurrences every %v, not up to %d", spe.ID, spe.Occurrences, spe.Interval, MaxOccurrences)
 	}
 	all := 0
 	for i, ste := range spe.Steps {
@@ -190,8 +190,8 @@
 		}
 		all += ste.Count
 	}
-	if all*spe.Runs() > MaxAllTasks {
-		return fmt.Errorf("job %s has %d tasks in %d occurrences, more than %d together", spe.ID, all, spe.Runs(), MaxAllTasks)
+	if all*spe.OccurrenceCount() > MaxTotalTasks {
+		return fmt.Errorf("job %s has %d tasks in %d occurrences, more than %d together", spe.ID, all, spe.OccurrenceCount(), MaxTotalTasks)
 	}
 	return nil
 }
--- a/internal/core/priority/priority.go
+++ b/internal/core/priority/priority.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Bid is what a step that waits brings to the order.
-type Bid struct {
-	// Lasts says that the tasks run until their job is cancelled.
-	Lasts bool
+// Key is what a step that waits brings to the order.
+type Key struct {
+	// IsLongRunning says that the tasks run until their job is cancelled.
+	IsLongRunning bool
 	// Excess says that the job lies beyond what its client account is entitled to.
 	Excess bool
 	// Priority is the queue's; 0 comes first.
@@ -24,8 +24,8 @@
 	Job string
 }
 
-// Timely reports whether the job can still end in time.
-func (bid Bid) Timely(now time.Time) bool {
+// CanMeetDeadline reports whether the job can still end in time.
+func (bid Key) CanMeetDeadline(now time.Time) bool {
 	return !now.Add(bid.Remaining).After(bid.Deadline)
 }
 
@@ -41,9 +41,9 @@
 	classLateExcess
 )
 
-func (bid Bid) class(now time.Time) class {
-	switch timely := bid.Timely(now); {
-	case bid.Lasts:
+func (bid Key) class(now time.Time) class {
+	switch timely := bid.CanMeetDeadline(now); {
+	case bid.IsLongRunning:
 		return classLasting
 	case timely && !bid.Excess:
 		return classTimely
@@ -58,7 +58,7 @@
 
 // Compare is negative if a bid comes before another one. What lasts comes first,
 // then what can be in time by its deadline, then what is late by its work.
-func Compare(now time.Time, one, oth Bid) int {
+func Compare(now time.Time, one, oth Key) int {
 	kind := one.class(now)
 	if ord := cmp.Or(cmp.Compare(kind, oth.class(now)), cmp.Compare(one.Priority, oth.Priority)); ord != 0 {
 		return ord
--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -82,7 +82,7 @@
 	if sta.adviceFor(stg.live.spec.Queue) == nil || adv.busy || sta.now.Sub(adv.askedAt) < adviceRetry {
 		return
 	}
-	room := stg.step.Room()
+	room := stg.step.Reservation()
 	var first, later []string
 	for _, hos := range hosts {
 		switch {
@@ -105,7 +105,7 @@
 
 // question is one that is to be put to the advisor.
 type question struct {
-	bid   priority.Bid
+	bid   priority.Key
 	stage *stage
 	vms   []string
 	// early says that no task of the stage could start yet, for want of room or
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -535,7 +535,7 @@
 			return 0, false
 		}
 		if vm.vm.ID != one.ID {
-			return worker.ResultOtherLife, true
+			return worker.ResultOtherIncarnation, true
 		}
 		return carryOut(vm, term), true
 	}
@@ -571,7 +571,7 @@
 		}
 		vm.lapsed = emu.now
 		for _, name := range vm.sorted() {
-			emu.endOn(vm, name, vm.runs[name], worker.EndLapsed)
+			emu.endOn(vm, name, vm.runs[name], worker.EndLeaseExpired)
 		}
 	})
 }
@@ -597,8 +597,8 @@
 	for _, run := range vm.runs {
 		used = used.Plus(run.size)
 	}
-	if !used.Plus(ste.Room()).Fits(vm.vm.Capacity) {
-		if emu.catalog.Pools[0].GuardsRoom {
+	if !used.Plus(ste.Reservation()).Fits(vm.vm.Capacity) {
+		if emu.catalog.Pools[0].EnforcesCapacity {
 			return worker.ResultNoRoom
 		}
 		emu.fail("%s run %d brings %s over its capacity", ord.Task, ord.Run, vm.vm.ID)
@@ -608,7 +608,7 @@
 		return worker.ResultNoTicket
 	}
 	emu.checkStart(vm, ord, spe)
-	run := &emulatedRun{run: ord.Run, since: emu.now, size: ste.Room(), owner: spe.Account}
+	run := &emulatedRun{run: ord.Run, since: emu.now, size: ste.Reservation(), owner: spe.Account}
 	vm.runs[ord.Task] = run
 	emu.truthOf(ord.Task).running++
 	emu.truthOf(ord.Task).starts = append(emu.truthOf(ord.Task).starts, emu.now)
@@ -628,7 +628,7 @@
 	incomplete := func() bool { return ste.Gang && len(emu.gang(ord.Task, ord.Run, ste.Count)) < ste.Count }
 	emu.after(emulatedGangTimeout, func() {
 		if runs() && incomplete() {
-			emu.endOn(vm, ord.Task, run, worker.EndAlone)
+			emu.endOn(vm, ord.Task, run, worker.EndGangIncomplete)
 		}
 	})
 	emu.after(emu.duration(ord.Task, ste), func() {
@@ -666,7 +666,7 @@
 // endGangOf ends the other members of a gang of which one has ended.
 func (emu *emulator) endGangOf(name job.Task, run, count int, kind worker.EndKind) {
 	if kind != worker.EndDone {
-		kind = worker.EndBroken
+		kind = worker.EndGangBroken
 	}
 	members := emu.gang(name, run, count)
 	for i := range count {
@@ -791,7 +791,7 @@
 			return
 		}
 		if vm.vm.ID != eff.VM.ID {
-			answer(worker.ResultOtherLife, worker.Report{})
+			answer(worker.ResultOtherIncarnation, worker.Report{})
 			return
 		}
 		if term < vm.fence {
@@ -913,7 +913,7 @@
 	}
 	worst := 0
 	spe := emu.specs[id]
-	for occ := range spe.Runs() {
+	for occ := range spe.OccurrenceCount() {
 		for i, ste := range spe.Steps {
 			failed := 0
 			for j := range ste.Count {
--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -90,7 +90,7 @@
 
 // arrive counts a job that was taken in towards its pool's demand.
 func (sta *State) arrive(liv *live) {
-	if liv.spec.Lasts() || liv.restored {
+	if liv.spec.IsLongRunning() || liv.restored {
 		return
 	}
 	sta.demandOf(sta.poolOf(liv)).arrived += liv.work * sta.learned[liv.spec.Queue].factor()
@@ -189,7 +189,7 @@
 				lasting++
 			}
 			if name, ok := sta.machines.byVM[hos.vm.ID]; ok && len(hos.list) == 0 {
-				flp.Empty = append(flp.Empty, rebalance.Idle{Machine: name, For: sta.now.Sub(hos.emptySince)})
+				flp.Empty = append(flp.Empty, rebalance.IdleMachine{Machine: name, IdleFor: sta.now.Sub(hos.emptySince)})
 			}
 		}
 		cores += needed[poo.Name] + dem.rate*leadTime.Seconds()
@@ -222,7 +222,7 @@
 }
 
 // standbyMachines returns the machines of a standby pool that may be moved.
-func (sta *State) standbyMachines(pool string) (idle []rebalance.Idle) {
+func (sta *State) standbyMachines(pool string) (idle []rebalance.IdleMachine) {
 	for _, name := range sta.machineNames {
 		mac := sta.machines.byName[name]
 		_, moves := sta.moves[name]
@@ -232,7 +232,7 @@
 		if hos := sta.hosts[mac.VM]; hos != nil && (hos.vm.Leaving || hos.cordoned || hos.goingDown || len(hos.list) > 0) {
 			continue
 		}
-		idle = append(idle, rebalance.Idle{Machine: name})
+		idle = append(idle, rebalance.IdleMachine{Machine: name})
 	}
 	return idle
 }
@@ -268,7 +268,7 @@
 	sums := map[string]float64{}
 	usable := map[string]float64{}
 	for _, liv := range sta.jobList {
-		if liv.final != "" || liv.spec.Lasts() {
+		if liv.final != "" || liv.spec.IsLongRunning() {
 			continue
 		}
 		factor := sta.learned[liv.spec.Queue].factor()
@@ -279,7 +279,7 @@
 				stg := &occ.stages[i]
 				sum += stg.work(factor)
 				if stg.blockers == 0 {
-					usable[pool] += stg.step.Room().Cores() * float64(stg.left)
+					usable[pool] += stg.step.Reservation().Cores() * float64(stg.left)
 				}
 			}
 		}
@@ -297,7 +297,7 @@
 	sum := 0.0
 	for _, hel := range hos.list {
 		if hel.stage != nil && hel.stage.step.LongRunning {
-			sum += hel.stage.step.Room().Cores()
+			sum += hel.stage.step.Reservation().Cores()
 		}
 	}
 	return sum
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -22,8 +22,8 @@
 // Plan is a wave with how far it has got. It is immutable.
 type Plan struct {
 	Wave Wave
-	// Asked is when this process learned of the wave.
-	Asked time.Time
+	// RequestedAt is when this process learned of the wave.
+	RequestedAt time.Time
 	// Begun holds the machines whose upkeep has begun.
 	Begun map[string]bool
 }
@@ -49,22 +49,22 @@
 	return true
 }
 
-// LastingShare is what a machine holds of a step that lasts.
-type LastingShare struct {
-	// Here is how many of the step's tasks at work the machine holds; Away is
+// StepShare is what a machine holds of a step that lasts.
+type StepShare struct {
+	// Local is how many of the step's tasks at work the machine holds; Unavailable is
 	// how many others are not at work; MayMiss is how many may be away.
-	Here, Away, MayMiss int
+	Local, Unavailable, MayMiss int
 }
 
-// Breaks reports whether ending the tasks here would leave too many away.
-func (sha LastingShare) Breaks() bool {
-	return sha.MayMiss > 0 && sha.Here > 0 && sha.Away+sha.Here > sha.MayMiss
+// ExceedsBudget reports whether ending the tasks here would leave too many away.
+func (sha StepShare) ExceedsBudget() bool {
+	return sha.MayMiss > 0 && sha.Local > 0 && sha.Unavailable+sha.Local > sha.MayMiss
 }
 
-// Relocates reports whether one of the tasks here should go elsewhere first, for
+// NeedsRelocation reports whether one of the tasks here should go elsewhere first, for
 // the machine holds more of them than may be away at once.
-func (sha LastingShare) Relocates() bool {
-	return sha.MayMiss > 0 && sha.Here > sha.MayMiss && sha.Away < sha.MayMiss
+func (sha StepShare) NeedsRelocation() bool {
+	return sha.MayMiss > 0 && sha.Local > sha.MayMiss && sha.Unavailable < sha.MayMiss
 }
 
 // Candidate is a machine that may go down.
@@ -72,27 +72,27 @@
 	Machine string
 	// Up says that the machine is up and not leaving.
 	Up bool
-	// Lost is the core-seconds of unsaved work that its upkeep would end.
-	Lost float64
-	// Left is the longest time that a task there is thought to need yet.
-	Left time.Duration
-	// Lasting holds its tasks that last, by step.
-	Lasting []LastingShare
+	// LostWork is the core-seconds of unsaved work that its upkeep would end.
+	LostWork float64
+	// Remaining is the longest time that a task there is thought to need yet.
+	Remaining time.Duration
+	// StepShares holds its tasks that last, by step.
+	StepShares []StepShare
 }
 
-// Breaks reports whether the machine's upkeep would leave too many tasks of a
+// ExceedsBudget reports whether the machine's upkeep would leave too many tasks of a
 // step away.
-func (can Candidate) Breaks() bool {
-	for _, sha := range can.Lasting {
-		if sha.Breaks() {
+func (can Candidate) ExceedsBudget() bool {
+	for _, sha := range can.StepShares {
+		if sha.ExceedsBudget() {
 			return true
 		}
 	}
 	return false
 }
 
-// Step is what to do next for a wave.
-type Step struct {
+// Actions is what to do next for a wave.
+type Actions struct {
 	// Cordon lists the machines that get no new tasks.
 	Cordon []string
 	// Relocate lists the machines from which tasks that last go elsewhere.
@@ -107,25 +107,25 @@
 
 // Next plans the next step of a wave. down is how many of its machines are
 // down for upkeep; each takes about the span.
-func (pla Plan) Next(now time.Time, cans []Candidate, down int, span time.Duration) Step {
+func (pla Plan) Next(now time.Time, cans []Candidate, down int, span time.Duration) Actions {
 	free := pla.Wave.Cap - down
 	if free <= 0 || len(cans) == 0 {
-		return Step{}
+		return Actions{}
 	}
 	cans = slices.Clone(cans)
 	slices.SortStableFunc(cans, func(one, oth Candidate) int {
-		if one.Breaks() != oth.Breaks() {
-			if oth.Breaks() {
+		if one.ExceedsBudget() != oth.ExceedsBudget() {
+			if oth.ExceedsBudget() {
 				return -1
 			}
 			return 1
 		}
-		return cmp.Or(cmp.Compare(one.Left, oth.Left), cmp.Compare(one.Lost, oth.Lost), cmp.Compare(one.Machine, oth.Machine))
+		return cmp.Or(cmp.Compare(one.Remaining, oth.Remaining), cmp.Compare(one.LostWork, oth.LostWork), cmp.Compare(one.Machine, oth.Machine))
 	})
 	usable := time.Duration(float64(pla.Wave.Duration) * (1 - reserveShare))
 	rounds := (len(cans) + pla.Wave.Cap - 1) / pla.Wave.Cap
-	late := now.Add(time.Duration(rounds) * span).After(pla.Asked.Add(usable))
-	var stp Step
+	late := now.Add(time.Duration(rounds) * span).After(pla.RequestedAt.Add(usable))
+	var stp Actions
 	for _, can := range cans {
 		if free == 0 {
 			break
@@ -135,10 +135,10 @@
 		}
 		free--
 		stp.Cordon = append(stp.Cordon, can.Machine)
-		if slices.ContainsFunc(can.Lasting, LastingShare.Relocates) {
+		if slices.ContainsFunc(can.StepShares, StepShare.NeedsRelocation) {
 			stp.Relocate = append(stp.Relocate, can.Machine)
 		}
-		if !can.Breaks() && (can.Lost == 0 || late) {
+		if !can.ExceedsBudget() && (can.LostWork == 0 || late) {
 			stp.Begin = append(stp.Begin, can.Machine)
 		}
 	}
--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -26,12 +26,12 @@
 	Capacity job.Size
 	// Leaving says that the VM shuts down soon and takes no new work.
 	Leaving bool
-	// Cold is how much longer the VM is slow after its start.
-	Cold time.Duration
+	// ColdRemaining is how much longer the VM is slow after its start.
+	ColdRemaining time.Duration
 }
 
-// SameLife reports whether two registrations are of the same life.
-func (one VM) SameLife(oth VM) bool {
+// SameIncarnation reports whether two registrations are of the same life.
+func (one VM) SameIncarnation(oth VM) bool {
 	return one.ID == oth.ID && (one.Born == oth.Born || one.Born == 0 || oth.Born == 0) && one.Address == oth.Address
 }
 
@@ -62,14 +62,14 @@
 
 // The ways in which a run ends.
 const (
-	EndDone    EndKind = "done"
-	EndFailed  EndKind = "failed"
-	EndStopped EndKind = "stopped"
-	EndLapsed  EndKind = "lapsed"
-	// EndBroken means that another member of the gang ended.
-	EndBroken EndKind = "broken"
-	// EndAlone means that the other members of the gang didn't come in time.
-	EndAlone EndKind = "alone"
+	EndDone         EndKind = "done"
+	EndFailed       EndKind = "failed"
+	EndStopped      EndKind = "stopped"
+	EndLeaseExpired EndKind = "lapsed"
+	// EndGangBroken means that another member of the gang ended.
+	EndGangBroken EndKind = "broken"
+	// EndGangIncomplete means that the other members of the gang didn't come in time.
+	EndGangIncomplete EndKind = "alone"
 )
 
 // End is the end of a run that a VM lists until it is acknowledged.
@@ -115,8 +115,8 @@
 	ResultNoTicket
 	// ResultUnhealthy means that the VM refused and did nothing.
 	ResultUnhealthy
-	// ResultOtherLife means that another life of the VM answered.
-	ResultOtherLife
+	// ResultOtherIncarnation means that another life of the VM answered.
+	ResultOtherIncarnation
 	// ResultInvalid means that the order was malformed.
 	ResultInvalid
 )
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -61,11 +61,11 @@
 	dis := &dispatcher{nod: nod, ten: ten, events: make(chan scheduler.Event, eventQueue), askers: advisory.NewPool(nod.now)}
 	dis.sta = scheduler.New(scheduler.Options{
 		Since: cur.Since, Revision: cur.Revision, Term: cur.Holder.Term,
-		Lease:    min(maxLease, time.Duration(float64(bnd.MaxHold)*leaseShare)),
+		Lease:    min(maxLease, time.Duration(float64(bnd.MaxTaskLease)*leaseShare)),
 		StopTime: bnd.StopTime, UpkeepTime: bnd.Upkeep,
 		KeepEnded:              bnd.KeepEnded,
 		ShareWindow:            bnd.ShareWindow,
-		MachineOrdersPerSecond: set.MachineOrders,
+		MachineOrdersPerSecond: set.MachineOrdersPerSecond,
 	})
 	go dis.bring(ctx)
 	go dis.followAskers(ctx)
@@ -100,7 +100,7 @@
 			// The answers that came are kept until the duty is sure again.
 			continue
 		}
-		if size := dis.askers.Size(); size != dis.asked {
+		if size := dis.askers.Available(); size != dis.asked {
 			dis.asked = size
 			batch = append(batch, scheduler.AdvisorSlotsChanged{Count: size})
 		}
@@ -125,8 +125,8 @@
 			return
 		}
 	}
-	wat := &advisory.Watch{
-		Store: dis.nod.store, Pool: dis.askers, Name: dis.nod.settings().Name, Own: dis.nod.relay, Wait: askersWatch,
+	wat := &advisory.Watcher{
+		Store: dis.nod.store, Pool: dis.askers, Name: dis.nod.settings().Name, Local: dis.nod.relay, Wait: askersWatch,
 		Log: dis.nod.log, Now: dis.nod.now,
 	}
 	wat.Run(ctx)
@@ -236,7 +236,7 @@
 			return items, true
 		}
 		dis.nod.log.Event("store_read_failed", decisionlog.Fields{"prefix": prefix, "error": err.Error()})
-		clock.Pause(ctx, follow.Retry)
+		clock.Pause(ctx, follow.RetryDelay)
 	}
 	return nil, false
 }
@@ -388,7 +388,7 @@
 	rev, err = dis.nod.store.Commit(ask, txn)
 	var con *kv.ConflictError
 	if errors.As(err, &con) && con.Item(duty.HolderKey).Revision != held.Revision {
-		dis.ten.Lose()
+		dis.ten.End()
 		return 0, errDutyLost
 	}
 	return rev, err
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -51,11 +51,11 @@
 	case scheduler.ListMachines:
 		go dis.listMachines(ctx, now)
 	case scheduler.Upkeep:
-		go dis.machineOrder(ctx, eff.Machine, eff.Wave, func(ctx context.Context, ord platform.MachineOrder) (worker.MachineResult, error) {
+		go dis.machineOrder(ctx, eff.Machine, eff.Wave, func(ctx context.Context, ord platform.OrderIssuer) (worker.MachineResult, error) {
 			return dis.nod.machines.Upkeep(ctx, ord, eff.Machine, eff.Wave)
 		})
 	case scheduler.Move:
-		go dis.machineOrder(ctx, eff.Machine, 0, func(ctx context.Context, ord platform.MachineOrder) (worker.MachineResult, error) {
+		go dis.machineOrder(ctx, eff.Machine, 0, func(ctx context.Context, ord platform.OrderIssuer) (worker.MachineResult, error) {
 			return dis.nod.machines.Move(ctx, ord, eff.Machine, eff.Pool)
 		})
 	case scheduler.SaveWave:
@@ -64,7 +64,7 @@
 		dis.nod.executors.Forget(eff.VM.Address)
 	case scheduler.StepDown:
 		dis.nod.log.Event("duty_given_up", decisionlog.Fields{"reason": eff.Reason})
-		dis.ten.Lose()
+		dis.ten.End()
 	case scheduler.LogDecision:
 		dis.note(eff)
 	default:
@@ -95,7 +95,7 @@
 func (dis *dispatcher) look(ctx context.Context, now time.Time, eff scheduler.Poll) {
 	ask, cancel := context.WithTimeout(ctx, eff.Wait+lookSlack)
 	defer cancel()
-	rep, res, err := dis.nod.executors.Look(ask, eff.VM, platform.Look{Term: dis.term(), Acked: eff.Acked, Deadline: eff.Deadline, Wait: eff.Wait})
+	rep, res, err := dis.nod.executors.Poll(ask, eff.VM, platform.Poll{Term: dis.term(), Acked: eff.Acked, Deadline: eff.Deadline, Wait: eff.Wait})
 	dis.failed("look", eff.VM.ID, err)
 	dis.send(ctx, scheduler.PollAnswered{VM: eff.VM, Sent: now, Report: rep, Result: res})
 }
@@ -129,9 +129,9 @@
 
 func (dis *dispatcher) advise(ctx context.Context, eff scheduler.QueryAdvisor) {
 	evt := scheduler.AdvisorAnswered{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs}
-	ask, cancel := context.WithTimeout(ctx, advisory.Timeout(eff.Latency))
+	ask, cancel := context.WithTimeout(ctx, advisory.QueryTimeout(eff.Latency))
 	defer cancel()
-	ans, err := dis.askers.Ask(ask, advisory.Question{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs})
+	ans, err := dis.askers.RequestTickets(ask, advisory.Query{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs})
 	if err != nil {
 		dis.nod.log.Event("no_advice", decisionlog.Fields{"job": string(eff.Job), "step": eff.Step, "error": err.Error()})
 	} else {
@@ -156,12 +156,12 @@
 
 // machineOrder gives an order for a machine. VMs don't check terms for these,
 // so that the duty must be sure at the time of sending.
-func (dis *dispatcher) machineOrder(ctx context.Context, machine string, wave int64, order func(context.Context, platform.MachineOrder) (worker.MachineResult, error)) {
+func (dis *dispatcher) machineOrder(ctx context.Context, machine string, wave int64, order func(context.Context, platform.OrderIssuer) (worker.MachineResult, error)) {
 	ask, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	res, err := worker.MachineRefused, errNotHeld
 	if cur := dis.ten.Current(); cur.Holds(dis.nod.now()) {
-		res, err = order(ask, platform.MachineOrder{Holder: cur.Holder.Name, Term: cur.Holder.Term})
+		res, err = order(ask, platform.OrderIssuer{Holder: cur.Holder.Name, Term: cur.Holder.Term})
 	}
 	if err != nil {
 		dis.nod.log.Event("machine_order_failed", decisionlog.Fields{"machine": machine, "wave": wave, "error": err.Error()})
@@ -193,7 +193,7 @@
 			return
 		}
 		dis.nod.log.Event("wave_not_saved", decisionlog.Fields{"wave": eff.Number, "error": err.Error()})
-		clock.Pause(ctx, follow.Retry)
+		clock.Pause(ctx, follow.RetryDelay)
 	}
 }
 
@@ -213,7 +213,7 @@
 			return begun, true
 		}
 		dis.nod.log.Event("store_read_failed", decisionlog.Fields{"prefix": wavePrefix, "error": err.Error()})
-		clock.Pause(ctx, follow.Retry)
+		clock.Pause(ctx, follow.RetryDelay)
 	}
 	return nil, false
 }
--- a/internal/manager/reload.go
+++ b/internal/manager/reload.go
@@ -44,14 +44,14 @@
 		nod.log.Event("settings_not_reloaded", decisionlog.Fields{"cause": cause, "error": err.Error()})
 		return
 	}
-	fixed := set.WithAddressesOf(old)
+	fixed := set.WithFixedSettingsOf(old)
 	if cause == "check" && fixed == old {
 		return
 	}
 	nod.set.Store(&fixed)
 	nod.log.Event("settings_reloaded", decisionlog.Fields{
 		"cause": cause, "changed": fixed != old, "restart_needed": fixed != set,
-		"revoke_ms": fixed.Bounds.Revoke.Milliseconds(), "grace_ms": fixed.Bounds.Grace.Milliseconds(), "machine_orders": fixed.MachineOrders,
+		"revoke_ms": fixed.Bounds.KeyRevocation.Milliseconds(), "grace_ms": fixed.Bounds.Grace.Milliseconds(), "machine_orders": fixed.MachineOrdersPerSecond,
 	})
 }
 
