--- a/internal/core/scheduler/assign.go
+++ b/internal/core/scheduler/assign.go
@@ -10,25 +10,25 @@
 
 // waitingStage is a stage with tasks that wait for room.
 type waitingStage struct {
-	stage *stage
-	bid   priority.Key
+	stage       *stage
+	priorityKey priority.Key
 }
 
-// viewAge bounds how old the view of jobs may be to start tasks by it: a job may
+// maxJobStaleness bounds how old the view of jobs may be to start tasks by it: a job may
 // have been cancelled since. A watch that went silent is noticed and replaced in
 // less.
-const viewAge = 1500 * time.Millisecond
+const maxJobStaleness = 1500 * time.Millisecond
 
 // assign starts tasks where there is room, in the order of priority.
 func (sta *State) assign() {
-	if sta.now.Sub(sta.confirmed) > viewAge {
+	if sta.now.Sub(sta.jobsSyncedAt) > maxJobStaleness {
 		return
 	}
-	unresolved := sta.unresolved()
+	formerRunsMayExist := sta.formerRunsMayExist()
 	pools := map[string][]waitingStage{}
 	var upcoming []*stage
 	for _, liv := range sta.jobList {
-		if liv.final != "" || liv.restored && unresolved {
+		if liv.final != "" || liv.restored && formerRunsMayExist {
 			continue
 		}
 		pool := sta.poolOf(liv)
@@ -39,60 +39,60 @@
 					continue
 				}
 				if stg.blockers > 0 {
-					if sta.adviceFor(liv.spec.Queue) != nil && stg.isNext() {
+					if sta.adviceFor(liv.spec.Queue) != nil && stg.prerequisitesStarted() {
 						upcoming = append(upcoming, stg)
 					}
 					continue
 				}
-				pools[pool] = append(pools[pool], waitingStage{stg, sta.bid(stg)})
+				pools[pool] = append(pools[pool], waitingStage{stg, sta.priorityKey(stg)})
 			}
 		}
 	}
 	for _, pool := range slices.Sorted(maps.Keys(pools)) {
 		waiting := pools[pool]
 		hosts := sta.usableHosts(pool)
-		slices.SortFunc(waiting, func(one, oth waitingStage) int { return priority.Compare(sta.now, one.bid, oth.bid) })
+		slices.SortFunc(waiting, func(one, oth waitingStage) int { return priority.Compare(sta.now, one.priorityKey, oth.priorityKey) })
 		for _, wai := range waiting {
 			sta.place(wai.stage, hosts)
 		}
 	}
 	for _, stg := range upcoming {
-		sta.wantAdvice(stg, sta.usableHosts(sta.poolOf(stg.live)))
+		sta.enqueueAdvisorQuery(stg, sta.usableHosts(sta.poolOf(stg.liveJob)))
 	}
-	sta.ask()
+	sta.sendAdvisorQueries()
 }
 
 // poolOf returns the pool that runs a job's tasks. It outlasts the removal of
 // the job's queue.
-func (sta *State) poolOf(liv *live) string {
+func (sta *State) poolOf(liv *liveJob) string {
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
 		liv.pool = que.Pool
 	}
 	return liv.pool
 }
 
-func (sta *State) bid(stg *stage) priority.Key {
-	liv := stg.live
+func (sta *State) priorityKey(stg *stage) priority.Key {
+	liv := stg.liveJob
 	occ := liv.occs[stg.occ]
-	bid := priority.Key{IsLongRunning: stg.step.LongRunning, Excess: liv.excess, Job: string(liv.spec.ID)}
+	priorityKey := priority.Key{IsLongRunning: stg.step.LongRunning, Excess: liv.excess, Job: string(liv.spec.ID)}
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
-		bid.Priority = que.Priority
+		priorityKey.Priority = que.Priority
 	}
-	bid.Remaining = sta.chain(liv.spec, func(step int) bool { return occ.stages[step].left > 0 })
-	factor := sta.learned[liv.spec.Queue].factor()
+	priorityKey.Remaining = sta.criticalPath(liv.spec, func(step int) bool { return occ.stages[step].left > 0 })
+	factor := sta.runtimeRatios[liv.spec.Queue].factor()
 	for i := range occ.stages {
-		bid.Work += occ.stages[i].work(factor)
+		priorityKey.Work += occ.stages[i].remainingWork(factor)
 	}
-	bid.Deadline = liv.deadline
+	priorityKey.Deadline = liv.deadline
 	if liv.spec.Occurrences > 0 {
-		bid.Deadline = liv.deadline.Add(liv.spec.Due(stg.occ).Sub(liv.spec.Accepted))
+		priorityKey.Deadline = liv.deadline.Add(liv.spec.Due(stg.occ).Sub(liv.spec.Accepted))
 	}
-	return bid
+	return priorityKey
 }
 
-// work returns the core-seconds that a stage has yet to do, by its estimates
+// remainingWork returns the core-seconds that a stage has yet to do, by its estimates
 // times a factor.
-func (stg *stage) work(factor float64) float64 {
+func (stg *stage) remainingWork(factor float64) float64 {
 	return stg.step.Size.Cores() * float64(stg.left) * stg.step.Estimate.Seconds() * factor
 }
 
@@ -113,7 +113,7 @@
 		sta.placeEach(stg, hosts)
 	}
 	if stg.waiting > 0 {
-		sta.wantAdvice(stg, hosts)
+		sta.enqueueAdvisorQuery(stg, hosts)
 	}
 }
 
@@ -124,10 +124,10 @@
 		if tas.phase != phaseWaiting || sta.now.Before(tas.notBefore) {
 			continue
 		}
-		if !sta.underCap(stg, 1) {
+		if !sta.withinCap(stg, 1) {
 			return
 		}
-		hos := sta.choose(stg, i, hosts, nil)
+		hos := sta.chooseHost(stg, i, hosts, nil)
 		if hos == nil {
 			return
 		}
@@ -135,9 +135,9 @@
 	}
 }
 
-// underCap reports whether a client account may run n more tasks of a stage.
-func (sta *State) underCap(stg *stage, n int) bool {
-	acc := sta.catalog.Account(stg.live.spec.Account)
+// withinCap reports whether a client account may run n more tasks of a stage.
+func (sta *State) withinCap(stg *stage, n int) bool {
+	acc := sta.catalog.Account(stg.liveJob.spec.Account)
 	if acc == nil {
 		return true
 	}
@@ -152,23 +152,23 @@
 	name := stg.task(index)
 	tas := &stg.tasks[index]
 	if len(hos.runs) == 0 {
-		hos.nextLook = sta.now.Add(lookPause)
+		hos.nextPoll = sta.now.Add(minPollInterval)
 	}
-	sta.hold(hos, stg, name, run, runOrdered)
+	sta.reserve(hos, stg, name, run, runOrdered)
 	sta.emit(Start{
-		VM: hos.vm, Task: name, Run: run, Payload: stg.live.spec.Payload, Deadline: sta.deadline(hos),
-		Checkpoint: tas.checkpoint, Ticket: stg.advice.valid(hos.vm.ID, sta.now),
+		VM: hos.vm, Task: name, Run: run, Payload: stg.liveJob.spec.Payload, Deadline: sta.extendLease(hos),
+		Checkpoint: tas.checkpoint, Ticket: stg.advice.ticketFor(hos.vm.ID, sta.now),
 	})
 }
 
-// choose returns the VM where a task of a stage runs best beside those of a
+// chooseHost returns the VM where a task of a stage runs best beside those of a
 // trial, or nil.
-func (sta *State) choose(stg *stage, index int, hosts []*host, tri trial) (best *host) {
+func (sta *State) chooseHost(stg *stage, index int, hosts []*host, tri trial) (best *host) {
 	var bestScore score
 	name := stg.task(index)
 	for _, hos := range hosts {
 		// A former run that is being stopped there would be taken for the new one.
-		if hos.runs[name] != nil || !sta.allows(stg, hos, tri[hos]) {
+		if hos.runs[name] != nil || !sta.canRun(stg, hos, tri[hos]) {
 			continue
 		}
 		sco := sta.score(stg, hos, tri[hos])
@@ -179,9 +179,9 @@
 	return best
 }
 
-// allows reports whether a task of a stage may run on a VM beside a number of
+// canRun reports whether a task of a stage may run on a VM beside a number of
 // others of the stage that are to start there.
-func (sta *State) allows(stg *stage, hos *host, planned int) bool {
+func (sta *State) canRun(stg *stage, hos *host, planned int) bool {
 	ste := stg.step
 	if !ste.Reservation().Times(planned + 1).Fits(hos.vm.Capacity.Minus(hos.used)) {
 		return false
@@ -189,20 +189,20 @@
 	if ste.Label != "" && !hos.vm.HasLabel(ste.Label) {
 		return false
 	}
-	if ste.MaxPerVM > 0 && hos.count(stg)+planned >= ste.MaxPerVM {
+	if ste.MaxPerVM > 0 && hos.countTasks(stg)+planned >= ste.MaxPerVM {
 		return false
 	}
-	if sta.adviceFor(stg.live.spec.Queue) != nil && stg.advice.valid(hos.vm.ID, sta.now) == "" {
+	if sta.adviceFor(stg.liveJob.spec.Queue) != nil && stg.advice.ticketFor(hos.vm.ID, sta.now) == "" {
 		return false
 	}
 	return true
 }
 
-// count returns how many tasks of a stage a VM holds.
-func (hos *host) count(stg *stage) int {
+// countTasks returns how many tasks of a stage a VM holds.
+func (hos *host) countTasks(stg *stage) int {
 	n := 0
-	for _, hel := range hos.list {
-		if hel.stage == stg {
+	for _, pla := range hos.runList {
+		if pla.stage == stg {
 			n++
 		}
 	}
@@ -215,8 +215,8 @@
 	remote bool
 	// siblings is how many tasks of the step the VM holds, for steps that last.
 	siblings int
-	// disturbed is how many tasks there disturb the task or are disturbed by it.
-	disturbed int
+	// interfering is how many tasks there disturb the task or are interfering by it.
+	interfering int
 	// free is the share of the VM that stays free. Tasks are packed, so that
 	// other VMs become empty and can be moved.
 	free float64
@@ -228,8 +228,8 @@
 		return !sco.remote
 	case sco.siblings != oth.siblings:
 		return sco.siblings < oth.siblings
-	case sco.disturbed != oth.disturbed:
-		return sco.disturbed < oth.disturbed
+	case sco.interfering != oth.interfering:
+		return sco.interfering < oth.interfering
 	default:
 		return sco.free < oth.free
 	}
@@ -239,14 +239,14 @@
 	ste := stg.step
 	sco := score{remote: ste.DataRack != "" && !hos.vm.HasLabel(ste.DataRack)}
 	if ste.LongRunning {
-		sco.siblings = hos.count(stg) + planned
+		sco.siblings = hos.countTasks(stg) + planned
 	}
-	for _, hel := range hos.list {
-		if hel.stage == nil {
+	for _, pla := range hos.runList {
+		if pla.stage == nil {
 			continue
 		}
-		if oth := hel.stage.step; ste.Fills && oth.TailTarget > 0 || ste.TailTarget > 0 && oth.Fills {
-			sco.disturbed++
+		if oth := pla.stage.step; ste.Fills && oth.TailTarget > 0 || ste.TailTarget > 0 && oth.Fills {
+			sco.interfering++
 		}
 	}
 	if cpu := hos.vm.Capacity.CPU; cpu > 0 {
--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -10,33 +10,33 @@
 
 // Times and shares of the plan of moves.
 const (
-	// fleetEvery is the time between two plans.
-	fleetEvery = 150 * time.Millisecond
-	// lateTime is in what time a pool should be able to do the work of a job that
+	// movePlanInterval is the time between two plans.
+	movePlanInterval = 150 * time.Millisecond
+	// lateJobSpan is in what time a pool should be able to do the work of a job that
 	// is late or nearly so.
-	lateTime = 700 * time.Millisecond
-	// usableTime is the part of the time to a job's deadline that is planned
+	lateJobSpan = 700 * time.Millisecond
+	// usableTimeShare is the part of the time to a job's deadline that is planned
 	// with; tasks don't fit into it without gaps.
-	usableTime = 0.7
+	usableTimeShare = 0.7
 	// leadTime is for how long ahead the work that arrives meanwhile counts.
 	leadTime = 500 * time.Millisecond
-	// rateTime is over what time the rate of arriving work is averaged.
-	rateTime = 700 * time.Millisecond
-	// keepTime is for how long a pool keeps what it needed.
-	keepTime = 800 * time.Millisecond
-	// restTime is for how long the pools together keep what they needed. Turns of
+	// rateWindow is over what time the rate of arriving work is averaged.
+	rateWindow = 700 * time.Millisecond
+	// peakWindow is for how long a pool keeps what it needed.
+	peakWindow = 800 * time.Millisecond
+	// totalPeakWindow is for how long the pools together keep what they needed. Turns of
 	// demand come back within seconds.
-	restTime = 20 * time.Second
-	// fullShare is the part of a machine that tasks fill before another one is
+	totalPeakWindow = 20 * time.Second
+	// targetUtilization is the part of a machine that tasks fill before another one is
 	// needed; sizes don't fit without gaps.
-	fullShare = 0.9
-	// leastMachines is how many machines a pool that is used keeps.
-	leastMachines = 2
-	// movesShare is the part of the platform's rate of orders that moves use; the
+	targetUtilization = 0.9
+	// minMachines is how many machines a pool that is used keeps.
+	minMachines = 2
+	// moveOrderShare is the part of the platform's rate of orders that moves use; the
 	// rest is for upkeep.
-	movesShare = 0.8
-	// moveLimit is after what time a move whose end wasn't seen is forgotten.
-	moveLimit = 10 * time.Second
+	moveOrderShare = 0.8
+	// moveTimeout is after what time a move whose end wasn't seen is forgotten.
+	moveTimeout = 10 * time.Second
 )
 
 // demand is what a pool has been asked for.
@@ -75,25 +75,25 @@
 		dem.updated = now
 		return
 	}
-	weight := 1 - math.Exp(-span.Seconds()/rateTime.Seconds())
+	weight := 1 - math.Exp(-span.Seconds()/rateWindow.Seconds())
 	dem.rate += (dem.arrived/span.Seconds() - dem.rate) * weight
 	dem.arrived, dem.updated = 0, now
 }
 
-// moving is a machine on its way to a pool.
-type moving struct {
+// pendingMove is a machine on its way to a pool.
+type pendingMove struct {
 	to string
 	// vm is the life that the move ended or will end.
 	vm    string
 	since time.Time
 }
 
-// arrive counts a job that was taken in towards its pool's demand.
-func (sta *State) arrive(liv *live) {
+// countArrival counts a job that was taken in towards its pool's demand.
+func (sta *State) countArrival(liv *liveJob) {
 	if liv.spec.IsLongRunning() || liv.restored {
 		return
 	}
-	sta.demandOf(sta.poolOf(liv)).arrived += liv.work * sta.learned[liv.spec.Queue].factor()
+	sta.demandOf(sta.poolOf(liv)).arrived += liv.work * sta.runtimeRatios[liv.spec.Queue].factor()
 }
 
 func (sta *State) demandOf(pool string) *demand {
@@ -107,23 +107,23 @@
 
 // planMoves orders the moves of machines that are due.
 func (sta *State) planMoves() {
-	if sta.now.Sub(sta.fleetAt) < fleetEvery || sta.machines.listed.IsZero() {
+	if sta.now.Sub(sta.movesPlannedAt) < movePlanInterval || sta.machines.listed.IsZero() {
 		return
 	}
-	if !sta.maySteer() {
+	if !sta.mayOrderMachines() {
 		return
 	}
-	sta.fleetAt = sta.now
-	pools := sta.fleetPools()
-	sta.notePools(pools)
-	moves := rebalance.Plan(pools, int(math.Ceil(sta.opt.MachineOrdersPerSecond*movesShare*fleetEvery.Seconds())), sta.spareMachines(pools), func(machine, pool string) bool { return !sta.barred[machine+" "+pool] })
+	sta.movesPlannedAt = sta.now
+	pools := sta.rebalancePools()
+	sta.logPools(pools)
+	moves := rebalance.Plan(pools, int(math.Ceil(sta.opt.MachineOrdersPerSecond*moveOrderShare*movePlanInterval.Seconds())), sta.spareMachines(pools), func(machine, pool string) bool { return !sta.forbiddenMoves[machine+" "+pool] })
 	for _, mov := range moves {
 		mac := sta.machines.byName[mov.Machine]
 		if hos := sta.hosts[mac.VM]; hos != nil {
 			hos.goingDown = true
 		}
-		sta.moves[mov.Machine] = moving{to: mov.To, vm: mac.VM, since: sta.now}
-		sta.note("move_ordered", "", map[string]any{"machine": mov.Machine, "from": mov.From, "to": mov.To})
+		sta.moves[mov.Machine] = pendingMove{to: mov.To, vm: mac.VM, since: sta.now}
+		sta.logDecision("move_ordered", "", map[string]any{"machine": mov.Machine, "from": mov.From, "to": mov.To})
 		sta.emit(Move{Machine: mov.Machine, Pool: mov.To})
 	}
 }
@@ -138,64 +138,64 @@
 			want += poo.Want
 		}
 	}
-	most := sta.total.want(sta.now, want, restTime)
-	if sta.now.Sub(sta.opt.Since) < restTime {
+	most := sta.totalDemand.want(sta.now, want, totalPeakWindow)
+	if sta.now.Sub(sta.opt.Since) < totalPeakWindow {
 		return 0
 	}
 	return max(0, have-most)
 }
 
-// notePools tells the log once a second what the pools have and want.
-func (sta *State) notePools(pools []rebalance.Pool) {
-	if sta.now.Sub(sta.poolsNoted) < time.Second {
+// logPools tells the log once a second what the pools have and want.
+func (sta *State) logPools(pools []rebalance.Pool) {
+	if sta.now.Sub(sta.poolsLoggedAt) < time.Second {
 		return
 	}
-	sta.poolsNoted = sta.now
+	sta.poolsLoggedAt = sta.now
 	fields := map[string]any{}
 	for _, poo := range pools {
 		fields[poo.Name] = map[string]int{"have": poo.Have, "want": poo.Want, "keep": poo.Keep, "empty": len(poo.Empty)}
 	}
-	sta.note("pools", "", fields)
+	sta.logDecision("pools", "", fields)
 }
 
-// fleetPools describes the pools for the plan.
-func (sta *State) fleetPools() (pools []rebalance.Pool) {
+// rebalancePools describes the pools for the plan.
+func (sta *State) rebalancePools() (pools []rebalance.Pool) {
 	incoming := sta.incoming()
-	needed := sta.needed()
+	neededCores := sta.neededCores()
 	for i := range sta.catalog.Pools {
 		poo := &sta.catalog.Pools[i]
-		flp := rebalance.Pool{Name: poo.Name, Standby: poo.Standby, Have: incoming[poo.Name]}
+		rbp := rebalance.Pool{Name: poo.Name, Standby: poo.Standby, Have: incoming[poo.Name]}
 		if poo.Standby {
-			flp.Empty = sta.standbyMachines(poo.Name)
-			flp.Have = len(flp.Empty)
-			pools = append(pools, flp)
+			rbp.Empty = sta.standbyMachines(poo.Name)
+			rbp.Have = len(rbp.Empty)
+			pools = append(pools, rbp)
 			continue
 		}
 		dem := sta.demandOf(poo.Name)
 		dem.average(sta.now)
-		cores, lasting, machineCores := 0.0, 0, 0.0
+		cores, longRunningHosts, machineCores := 0.0, 0, 0.0
 		for _, hos := range sta.pools[poo.Name] {
-			if !hos.fenced && hos.failedLooks == 0 && !hos.vm.Leaving {
-				flp.Have++
+			if !hos.fenced && hos.failedPolls == 0 && !hos.vm.Leaving {
+				rbp.Have++
 			}
 			if !hos.usable(sta.now) || sta.zonesOut[hos.vm.AZ] {
 				continue
 			}
-			flp.Have++
+			rbp.Have++
 			machineCores = max(machineCores, float64(hos.vm.Capacity.CPU)/1000)
-			lasts := hos.lastingCores()
-			cores += lasts
-			if lasts > 0 {
-				lasting++
+			longRunning := hos.longRunningCores()
+			cores += longRunning
+			if longRunning > 0 {
+				longRunningHosts++
 			}
-			if name, ok := sta.machines.byVM[hos.vm.ID]; ok && len(hos.list) == 0 {
-				flp.Empty = append(flp.Empty, rebalance.IdleMachine{Machine: name, IdleFor: sta.now.Sub(hos.emptySince)})
+			if name, ok := sta.machines.byVM[hos.vm.ID]; ok && len(hos.runList) == 0 {
+				rbp.Empty = append(rbp.Empty, rebalance.IdleMachine{Machine: name, IdleFor: sta.now.Sub(hos.idleSince)})
 			}
 		}
-		cores += needed[poo.Name] + dem.rate*leadTime.Seconds()
-		flp.Want = max(leastMachines, lasting, int(math.Ceil(cores/(sta.largestMachine(machineCores)*fullShare))))
-		flp.Keep = dem.want(sta.now, flp.Want, keepTime)
-		pools = append(pools, flp)
+		cores += neededCores[poo.Name] + dem.rate*leadTime.Seconds()
+		rbp.Want = max(minMachines, longRunningHosts, int(math.Ceil(cores/(sta.coresPerMachine(machineCores)*targetUtilization))))
+		rbp.Keep = dem.want(sta.now, rbp.Want, peakWindow)
+		pools = append(pools, rbp)
 	}
 	return pools
 }
@@ -212,7 +212,7 @@
 	for name, mov := range sta.moves {
 		mac := sta.machines.byName[name]
 		back := mac.VM != mov.vm && mac.VM != "" && sta.hosts[mac.VM] != nil
-		if back || sta.now.Sub(mov.since) > moveLimit {
+		if back || sta.now.Sub(mov.since) > moveTimeout {
 			delete(sta.moves, name)
 			continue
 		}
@@ -229,7 +229,7 @@
 		if mac.Pool != pool || mac.State != worker.MachineUp || moves || sta.inUpkeep(name) {
 			continue
 		}
-		if hos := sta.hosts[mac.VM]; hos != nil && (hos.vm.Leaving || hos.cordoned || hos.goingDown || len(hos.list) > 0) {
+		if hos := sta.hosts[mac.VM]; hos != nil && (hos.vm.Leaving || hos.cordoned || hos.goingDown || len(hos.runList) > 0) {
 			continue
 		}
 		idle = append(idle, rebalance.IdleMachine{Machine: name})
@@ -250,9 +250,9 @@
 	return false
 }
 
-// largestMachine returns the cores of a pool's machines, or of the largest
+// coresPerMachine returns the cores of a pool's machines, or of the largest
 // machine for a pool that has none now.
-func (sta *State) largestMachine(cores float64) float64 {
+func (sta *State) coresPerMachine(cores float64) float64 {
 	if cores > 0 {
 		return cores
 	}
@@ -262,28 +262,28 @@
 	return max(1, cores)
 }
 
-// needed returns the cores with which each pool would do the work of its jobs
+// neededCores returns the cores with which each pool would do the work of its jobs
 // by their deadlines, but no more than their tasks can use at once.
-func (sta *State) needed() map[string]float64 {
+func (sta *State) neededCores() map[string]float64 {
 	sums := map[string]float64{}
 	usable := map[string]float64{}
 	for _, liv := range sta.jobList {
 		if liv.final != "" || liv.spec.IsLongRunning() {
 			continue
 		}
-		factor := sta.learned[liv.spec.Queue].factor()
+		factor := sta.runtimeRatios[liv.spec.Queue].factor()
 		sum := 0.0
 		pool := sta.poolOf(liv)
 		for _, occ := range liv.occs {
 			for i := range occ.stages {
 				stg := &occ.stages[i]
-				sum += stg.work(factor)
+				sum += stg.remainingWork(factor)
 				if stg.blockers == 0 {
 					usable[pool] += stg.step.Reservation().Cores() * float64(stg.left)
 				}
 			}
 		}
-		span := max(lateTime, time.Duration(usableTime*float64(liv.deadline.Sub(sta.now))))
+		span := max(lateJobSpan, time.Duration(usableTimeShare*float64(liv.deadline.Sub(sta.now))))
 		sums[pool] += sum / span.Seconds()
 	}
 	for pool, sum := range sums {
@@ -292,12 +292,12 @@
 	return sums
 }
 
-// lastingCores returns the cores of the tasks that last on a VM.
-func (hos *host) lastingCores() float64 {
+// longRunningCores returns the cores of the tasks that last on a VM.
+func (hos *host) longRunningCores() float64 {
 	sum := 0.0
-	for _, hel := range hos.list {
-		if hel.stage != nil && hel.stage.step.LongRunning {
-			sum += hel.stage.step.Reservation().Cores()
+	for _, pla := range hos.runList {
+		if pla.stage != nil && pla.stage.step.LongRunning {
+			sum += pla.stage.step.Reservation().Cores()
 		}
 	}
 	return sum
@@ -312,21 +312,21 @@
 	hos := sta.hosts[mov.vm]
 	switch evt.Result {
 	case worker.MachineOK:
-		sta.machines.wanted = true
+		sta.machines.refreshDue = true
 		if hos != nil {
 			hos.downAnswered = sta.now
 		}
 	case worker.MachineUnknown:
 		if hos != nil {
-			sta.orderFailed(hos, evt.Result)
+			sta.machineOrderFailed(hos, evt.Result)
 		}
 	default:
 		delete(sta.moves, evt.Machine)
 		if hos != nil {
-			sta.orderFailed(hos, evt.Result)
+			sta.machineOrderFailed(hos, evt.Result)
 		}
 		if evt.Result == worker.MachineInvalid {
-			sta.barred[evt.Machine+" "+mov.to] = true
+			sta.forbiddenMoves[evt.Machine+" "+mov.to] = true
 		}
 	}
 }
--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -14,7 +14,7 @@
 		sta.breakGang(stg)
 		return
 	}
-	if !sta.underCap(stg, len(stg.tasks)) {
+	if !sta.withinCap(stg, len(stg.tasks)) {
 		return
 	}
 	run, checkpoint := 0, ""
@@ -29,7 +29,7 @@
 			checkpoint = tas.checkpoint
 		}
 	}
-	for i, hos := range sta.chooseForGang(stg, hosts) {
+	for i, hos := range sta.chooseGangHosts(stg, hosts) {
 		stg.tasks[i].checkpoint = checkpoint
 		sta.start(hos, stg, i, run+1)
 	}
@@ -45,17 +45,17 @@
 	}
 }
 
-// chooseForGang returns a VM for each member of a gang, or nothing if they don't
+// chooseGangHosts returns a VM for each member of a gang, or nothing if they don't
 // all fit. Gangs that are slow on several racks get one rack if one has room.
-func (sta *State) chooseForGang(stg *stage, hosts []*host) (chosen []*host) {
+func (sta *State) chooseGangHosts(stg *stage, hosts []*host) (chosen []*host) {
 	if stg.step.SameRack {
 		for _, rack := range racksOf(stg, hosts) {
-			if chosen = sta.chooseAll(stg, rack); chosen != nil {
+			if chosen = sta.chooseHosts(stg, rack); chosen != nil {
 				return chosen
 			}
 		}
 	}
-	return sta.chooseAll(stg, hosts)
+	return sta.chooseHosts(stg, hosts)
 }
 
 // racksOf returns the VMs of each rack: first those of the rack where the
@@ -75,12 +75,12 @@
 	return racks
 }
 
-// chooseAll returns a VM for each task of a stage, or nothing if they don't all
+// chooseHosts returns a VM for each task of a stage, or nothing if they don't all
 // fit.
-func (sta *State) chooseAll(stg *stage, hosts []*host) (chosen []*host) {
+func (sta *State) chooseHosts(stg *stage, hosts []*host) (chosen []*host) {
 	tri := trial{}
 	for i := range stg.tasks {
-		hos := sta.choose(stg, i, hosts, tri)
+		hos := sta.chooseHost(stg, i, hosts, tri)
 		if hos == nil {
 			return nil
 		}
--- a/internal/core/scheduler/jobs.go
+++ b/internal/core/scheduler/jobs.go
@@ -14,7 +14,7 @@
 	if _, ended := sta.ended.get(id); ended || sta.jobs[id] != nil {
 		return
 	}
-	liv := &live{
+	liv := &liveJob{
 		spec: evt.Spec, revision: evt.Revision, occsLeft: evt.Spec.OccurrenceCount(),
 		progressRev: evt.ProgressRevision, work: evt.Spec.Work(),
 		restored: evt.Revision <= sta.opt.Revision,
@@ -26,15 +26,15 @@
 		sta.openOccurrence(liv)
 	}
 	for _, rec := range evt.Progress.Tasks {
-		sta.restore(liv, rec)
+		sta.restoreTask(liv, rec)
 	}
-	sta.arrive(liv)
-	sta.countAllowance(liv)
-	sta.note("job_taken", id, map[string]any{"queue": evt.Spec.Queue, "account": evt.Spec.Account, "excess": liv.excess, "revision": evt.Revision, "age_ms": sta.now.Sub(evt.Spec.Accepted).Milliseconds()})
+	sta.countArrival(liv)
+	sta.chargeAllowance(liv)
+	sta.logDecision("job_taken", id, map[string]any{"queue": evt.Spec.Queue, "account": evt.Spec.Account, "excess": liv.excess, "revision": evt.Revision, "age_ms": sta.now.Sub(evt.Spec.Accepted).Milliseconds()})
 }
 
-// countAllowance counts a job against what its account is entitled to.
-func (sta *State) countAllowance(liv *live) {
+// chargeAllowance counts a job against what its account is entitled to.
+func (sta *State) chargeAllowance(liv *liveJob) {
 	acc := sta.catalog.Account(liv.spec.Account)
 	if acc == nil || liv.spec.IsLongRunning() || liv.restored {
 		return
@@ -46,30 +46,30 @@
 
 // setDeadline works out the latency objective: the queue's slack times the
 // longest chain of steps, and its target.
-func (sta *State) setDeadline(liv *live) {
-	objective := sta.chain(liv.spec, nil)
+func (sta *State) setDeadline(liv *liveJob) {
+	objective := sta.criticalPath(liv.spec, nil)
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
 		objective = que.Objective(objective)
 	}
 	liv.deadline = liv.spec.Accepted.Add(objective)
 }
 
-// chain returns the longest chain of those steps that count, by what was learned
+// criticalPath returns the longest criticalPath of those steps that count, by what was learned
 // of the queue's estimates.
-func (sta *State) chain(spe job.Spec, counts func(step int) bool) time.Duration {
-	factor := sta.learned[spe.Queue].factor()
+func (sta *State) criticalPath(spe job.Spec, counts func(step int) bool) time.Duration {
+	factor := sta.runtimeRatios[spe.Queue].factor()
 	return spe.CriticalPath(counts, func(ste job.Step) time.Duration {
-		return time.Duration(float64(ste.Estimate)*factor) + sta.adviceTime(spe.Queue)
+		return time.Duration(float64(ste.Estimate)*factor) + sta.advisorLatency(spe.Queue)
 	})
 }
 
 // openOccurrence makes the next occurrence's tasks.
-func (sta *State) openOccurrence(liv *live) {
+func (sta *State) openOccurrence(liv *liveJob) {
 	occ := &occurrence{stages: make([]stage, len(liv.spec.Steps)), left: len(liv.spec.Steps)}
 	for i := range liv.spec.Steps {
 		ste := &liv.spec.Steps[i]
 		occ.stages[i] = stage{
-			live: liv, occ: len(liv.occs), index: i, step: ste, tasks: make([]task, ste.Count),
+			liveJob: liv, occ: len(liv.occs), index: i, step: ste, tasks: make([]task, ste.Count),
 			blockers: len(ste.After), waiting: ste.Count, left: ste.Count,
 		}
 		for j := range occ.stages[i].tasks {
@@ -79,8 +79,8 @@
 	liv.occs = append(liv.occs, occ)
 }
 
-// dueOccurrences opens occurrences whose time has come.
-func (sta *State) dueOccurrences() {
+// openDueOccurrences opens occurrences whose time has come.
+func (sta *State) openDueOccurrences() {
 	for _, liv := range sta.jobList {
 		for !liv.cancelled && liv.final == "" && len(liv.occs) < liv.spec.OccurrenceCount() && !liv.spec.Due(len(liv.occs)).After(sta.now) {
 			sta.openOccurrence(liv)
@@ -88,10 +88,10 @@
 	}
 }
 
-// restore takes in what a former dispatcher stored of a task.
-func (sta *State) restore(liv *live, rec job.TaskRecord) {
+// restoreTask takes in what a former dispatcher stored of a task.
+func (sta *State) restoreTask(liv *liveJob, rec job.TaskRecord) {
 	if rec.Occurrence >= liv.spec.OccurrenceCount() || rec.Step >= len(liv.spec.Steps) || rec.Index >= liv.spec.Steps[rec.Step].Count {
-		sta.note("progress_ignored", liv.spec.ID, map[string]any{"occurrence": rec.Occurrence, "step": rec.Step, "index": rec.Index})
+		sta.logDecision("progress_ignored", liv.spec.ID, map[string]any{"occurrence": rec.Occurrence, "step": rec.Step, "index": rec.Index})
 		return
 	}
 	for len(liv.occs) <= rec.Occurrence {
@@ -137,7 +137,7 @@
 	if stg.left > 0 {
 		return
 	}
-	occ := stg.live.occs[stg.occ]
+	occ := stg.liveJob.occs[stg.occ]
 	occ.left--
 	for i := range occ.stages {
 		for _, dep := range occ.stages[i].step.After {
@@ -147,25 +147,25 @@
 		}
 	}
 	if occ.left == 0 {
-		stg.live.occsLeft--
-		if stg.live.occsLeft == 0 {
-			sta.finish(stg.live, job.StateCompleted)
+		stg.liveJob.occsLeft--
+		if stg.liveJob.occsLeft == 0 {
+			sta.finish(stg.liveJob, job.StateCompleted)
 		}
 	}
 }
 
 // finish decides the state in which a job ends.
-func (sta *State) finish(liv *live, state job.State) {
+func (sta *State) finish(liv *liveJob, state job.State) {
 	if liv.final != "" {
 		return
 	}
 	liv.final = state
-	sta.touch(liv)
-	sta.note("job_ended", liv.spec.ID, map[string]any{
+	sta.markDirty(liv)
+	sta.logDecision("job_ended", liv.spec.ID, map[string]any{
 		"state": state, "queue": liv.spec.Queue, "age_ms": sta.now.Sub(liv.spec.Accepted).Milliseconds(),
 		"late_ms": sta.now.Sub(liv.deadline).Milliseconds(),
 	})
-	sta.stopAll(liv)
+	sta.stopRuns(liv)
 }
 
 // cancel stops a job.
@@ -178,8 +178,8 @@
 	sta.finish(liv, job.StateCancelled)
 }
 
-// stopAll stops all runs of a job.
-func (sta *State) stopAll(liv *live) {
+// stopRuns stops all runs of a job.
+func (sta *State) stopRuns(liv *liveJob) {
 	for _, occ := range liv.occs {
 		for i := range occ.stages {
 			stg := &occ.stages[i]
@@ -192,31 +192,31 @@
 	}
 }
 
-// touch notes that a job has something to store.
-func (sta *State) touch(liv *live) {
+// markDirty notes that a job has something to store.
+func (sta *State) markDirty(liv *liveJob) {
 	if liv.dirtySince.IsZero() {
 		liv.dirtySince = sta.now
 	}
 }
 
-// endRun takes in the end of a run that the VM listed.
-func (sta *State) endRun(hos *host, end worker.End) {
-	hel := hos.runs[end.Task]
+// runEnded takes in the end of a run that the VM listed.
+func (sta *State) runEnded(hos *host, end worker.End) {
+	pla := hos.runs[end.Task]
 	started := time.Time{}
-	if hel != nil && hel.run == end.Run {
-		started = hel.since
-		sta.drop(hos, hel)
+	if pla != nil && pla.run == end.Run {
+		started = pla.since
+		sta.release(hos, pla)
 	}
 	stg := sta.stageOf(end.Task)
 	if stg == nil {
-		sta.ackable(hos, end.Number)
+		sta.markAckable(hos, end.Number)
 		return
 	}
-	if stg.live.final != "" {
-		sta.store(stg.live, hos, end.Number)
+	if stg.liveJob.final != "" {
+		sta.ackOnceStored(stg.liveJob, hos, end.Number)
 		return
 	}
-	stg.live.begun = true
+	stg.liveJob.begun = true
 	tas := &stg.tasks[end.Task.Index]
 	tas.run = max(tas.run, end.Run)
 	if end.Checkpoint != "" {
@@ -224,38 +224,38 @@
 	}
 	switch {
 	case stg.step.LongRunning:
-		sta.note("lasting_task_ended", end.Task.Job, map[string]any{"task": end.Task.String(), "run": end.Run, "vm": hos.vm.ID, "kind": end.Kind})
-		sta.ackable(hos, end.Number)
+		sta.logDecision("lasting_task_ended", end.Task.Job, map[string]any{"task": end.Task.String(), "run": end.Run, "vm": hos.vm.ID, "kind": end.Kind})
+		sta.markAckable(hos, end.Number)
 		return
 	case tas.phase == phaseDone && end.Kind == worker.EndDone:
 		// A VM that came back lists ends again that may not be stored yet.
-		sta.store(stg.live, hos, end.Number)
+		sta.ackOnceStored(stg.liveJob, hos, end.Number)
 		return
 	case tas.phase == phaseDone:
-		sta.ackable(hos, end.Number)
+		sta.markAckable(hos, end.Number)
 		return
 	}
 	switch end.Kind {
 	case worker.EndDone:
-		sta.learn(stg, started)
+		sta.updateRuntimeRatio(stg, started)
 		hos.failures = 0
-		sta.store(stg.live, hos, end.Number)
-		sta.endOthers(stg, end.Task)
+		sta.ackOnceStored(stg.liveJob, hos, end.Number)
+		sta.stopOtherRuns(stg, end.Task)
 		sta.markDone(stg, end.Task.Index)
 	case worker.EndFailed:
 		sta.taskFailed(stg, hos, end)
 	default:
-		sta.ackable(hos, end.Number)
+		sta.markAckable(hos, end.Number)
 	}
 	if stg.step.Gang {
 		sta.endGang(stg, end)
 	}
 }
 
-// store notes that an end is acknowledged once the job's record is stored.
-func (sta *State) store(liv *live, hos *host, number int64) {
+// ackOnceStored notes that an end is acknowledged once the job's record is stored.
+func (sta *State) ackOnceStored(liv *liveJob, hos *host, number int64) {
 	liv.acks = append(liv.acks, ack{hos, number})
-	sta.touch(liv)
+	sta.markDirty(liv)
 }
 
 // taskFailed counts a run that failed, and fails the job at the last attempt.
@@ -264,16 +264,16 @@
 	// A former dispatcher may have counted the run and not acknowledged its end.
 	if !slices.Contains(tas.failedRuns, end.Run) {
 		tas.failedRuns = append(slices.Clip(tas.failedRuns), end.Run)
-		sta.suspect(hos)
+		sta.countFailure(hos)
 	}
-	sta.store(stg.live, hos, end.Number)
+	sta.ackOnceStored(stg.liveJob, hos, end.Number)
 	attempts := 1
-	if que := sta.catalog.Queue(stg.live.spec.Queue); que != nil {
+	if que := sta.catalog.Queue(stg.liveJob.spec.Queue); que != nil {
 		attempts = que.MaxAttempts
 	}
-	sta.note("task_failed", end.Task.Job, map[string]any{"task": end.Task.String(), "run": end.Run, "vm": hos.vm.ID, "failed": len(tas.failedRuns), "attempts": attempts})
+	sta.logDecision("task_failed", end.Task.Job, map[string]any{"task": end.Task.String(), "run": end.Run, "vm": hos.vm.ID, "failed": len(tas.failedRuns), "attempts": attempts})
 	if len(tas.failedRuns) >= attempts {
-		sta.finish(stg.live, job.StateFailed)
+		sta.finish(stg.liveJob, job.StateFailed)
 	}
 }
 
@@ -282,39 +282,39 @@
 	// maxFailures is how many runs in a row may fail on a VM before it gets no
 	// new tasks for a while.
 	maxFailures = 3
-	// quarantineTime is the first pause; it doubles with each further failure.
-	quarantineTime = 500 * time.Millisecond
+	// minQuarantine is the first pause; it doubles with each further failure.
+	minQuarantine = 500 * time.Millisecond
 	// maxQuarantine bounds the pause.
 	maxQuarantine = 8 * time.Second
 )
 
-// suspect counts a failure against a VM.
-func (sta *State) suspect(hos *host) {
+// countFailure counts a failure against a VM.
+func (sta *State) countFailure(hos *host) {
 	hos.failures++
 	if hos.failures < maxFailures {
 		return
 	}
-	pause := min(maxQuarantine, quarantineTime<<min(hos.failures-maxFailures, 5))
-	hos.quarantine = sta.now.Add(pause)
-	sta.note("vm_quarantined", "", map[string]any{"vm": hos.vm.ID, "failures": hos.failures, "pause_ms": pause.Milliseconds()})
+	pause := min(maxQuarantine, minQuarantine<<min(hos.failures-maxFailures, 5))
+	hos.quarantinedUntil = sta.now.Add(pause)
+	sta.logDecision("vm_quarantined", "", map[string]any{"vm": hos.vm.ID, "failures": hos.failures, "pause_ms": pause.Milliseconds()})
 }
 
-// learn compares a run's time with the estimate.
-func (sta *State) learn(stg *stage, started time.Time) {
+// updateRuntimeRatio compares a run's time with the estimate.
+func (sta *State) updateRuntimeRatio(stg *stage, started time.Time) {
 	if started.IsZero() || stg.step.Estimate <= 0 || stg.step.Checkpointing {
 		return
 	}
-	queue := stg.live.spec.Queue
-	rat := sta.learned[queue]
+	queue := stg.liveJob.spec.Queue
+	rat := sta.runtimeRatios[queue]
 	if rat == nil {
-		rat = &ratio{}
-		sta.learned[queue] = rat
+		rat = &runtimeRatio{}
+		sta.runtimeRatios[queue] = rat
 	}
 	rat.add(sta.now.Sub(started).Seconds() / stg.step.Estimate.Seconds())
 }
 
-// endOthers stops other copies of a task that is done.
-func (sta *State) endOthers(stg *stage, tas job.Task) {
+// stopOtherRuns stops other copies of a task that is done.
+func (sta *State) stopOtherRuns(stg *stage, tas job.Task) {
 	if hos := stg.tasks[tas.Index].host; hos != nil {
 		sta.stop(hos.runs[tas])
 	}
--- a/internal/core/scheduler/load.go
+++ b/internal/core/scheduler/load.go
@@ -23,13 +23,13 @@
 
 // Bounds of what is told.
 const (
-	// loadStep is the unit of backlogs. The load is written when it changes.
-	loadStep = time.Second
+	// backlogUnit is the unit of backlogs. The load is written when it changes.
+	backlogUnit = time.Second
 	// worthlessFactor is how many times its objective a job takes at most to be of
 	// any worth, from the platform's rules.
 	worthlessFactor = 3
-	// unfitRetry is when a job may come back that no machine can hold.
-	unfitRetry = time.Minute
+	// oversizedRetry is when a job may come back that no machine can hold.
+	oversizedRetry = time.Minute
 )
 
 // Load returns the present load. It is not known until all stored jobs have been
@@ -49,9 +49,9 @@
 		que := &sta.catalog.Queues[i]
 		wait := backlogs[que.Pool]
 		if que.Advice != nil {
-			wait = max(wait, sta.adviceBacklog())
+			wait = max(wait, sta.advisorBacklog())
 		}
-		if wait = wait.Truncate(loadStep); wait > 0 {
+		if wait = wait.Truncate(backlogUnit); wait > 0 {
 			loa.Backlog[que.Name] = wait
 		}
 	}
@@ -67,18 +67,18 @@
 // backlogs returns how long each pool takes for the work of its jobs, with its own
 // machines or with its part of all machines, as these move to where work is.
 func (sta *State) backlogs() map[string]time.Duration {
-	work, cores := map[string]float64{}, map[string]float64{}
+	remainingWork, cores := map[string]float64{}, map[string]float64{}
 	allWork, allCores := 0.0, 0.0
 	for _, liv := range sta.jobList {
 		if liv.final != "" || liv.spec.IsLongRunning() {
 			continue
 		}
-		factor := sta.learned[liv.spec.Queue].factor()
+		factor := sta.runtimeRatios[liv.spec.Queue].factor()
 		pool := sta.poolOf(liv)
 		for _, occ := range liv.occs {
 			for i := range occ.stages {
-				work[pool] += occ.stages[i].work(factor)
-				allWork += occ.stages[i].work(factor)
+				remainingWork[pool] += occ.stages[i].remainingWork(factor)
+				allWork += occ.stages[i].remainingWork(factor)
 			}
 		}
 	}
@@ -86,7 +86,7 @@
 		// VMs that were not heard of yet, or go down for their upkeep, count: after a
 		// takeover nothing is refused for what is not known.
 		if !hos.unregistered && !hos.vm.Leaving && !sta.zonesOut[hos.vm.AZ] {
-			free := max(0, hos.vm.Capacity.Cores()-hos.lastingCores())
+			free := max(0, hos.vm.Capacity.Cores()-hos.longRunningCores())
 			cores[hos.vm.Pool] += free
 			allCores += free
 		}
@@ -102,19 +102,19 @@
 	if allCores == 0 {
 		return waits
 	}
-	for pool, sum := range work {
+	for pool, sum := range remainingWork {
 		seconds := min(sum/max(cores[pool], math.SmallestNonzeroFloat64), allWork/allCores)
 		waits[pool] = time.Duration(seconds * float64(time.Second))
 	}
 	return waits
 }
 
-// adviceBacklog returns how long the askers take for the questions of all stages
+// advisorBacklog returns how long the askers take for the questions of all stages
 // that have no task running or done.
-func (sta *State) adviceBacklog() time.Duration {
+func (sta *State) advisorBacklog() time.Duration {
 	sum := time.Duration(0)
 	for _, liv := range sta.jobList {
-		span := sta.adviceTime(liv.spec.Queue)
+		span := sta.advisorLatency(liv.spec.Queue)
 		if span == 0 || liv.final != "" {
 			continue
 		}
@@ -126,7 +126,7 @@
 			}
 		}
 	}
-	return sum / time.Duration(max(1, sta.askers))
+	return sum / time.Duration(max(1, sta.advisorSlots))
 }
 
 // Admit decides whether a queue takes another job. The reason is empty if it
@@ -139,7 +139,7 @@
 	for _, ste := range spe.Steps {
 		fits := func(size job.Size) bool { return ste.Reservation().Fits(size) }
 		if len(loa.Sizes) > 0 && !slices.ContainsFunc(loa.Sizes, fits) {
-			return unfitRetry, "no machine can hold a task of the job"
+			return oversizedRetry, "no machine can hold a task of the job"
 		}
 	}
 	objective := que.Objective(spe.CriticalPath(nil, nil))
--- a/internal/core/scheduler/orders.go
+++ b/internal/core/scheduler/orders.go
@@ -8,36 +8,36 @@
 
 // Times of orders to VMs.
 const (
-	// startRetry is how long a task waits after its order was refused.
-	startRetry = 150 * time.Millisecond
-	// stopRetry is the time between two stops of a run that goes on.
-	stopRetry = 500 * time.Millisecond
+	// startRetryDelay is how long a task waits after its order was refused.
+	startRetryDelay = 150 * time.Millisecond
+	// stopRetryInterval is the time between two stops of a run that goes on.
+	stopRetryInterval = 500 * time.Millisecond
 	// unhealthyPause is how long a VM that refused an order gets no others.
 	unhealthyPause = time.Second
 )
 
 // stop has a run stopped. It keeps its room until the VM lists its end or has
 // rejected it.
-func (sta *State) stop(hel *held) {
-	if hel == nil || hel.state == runStopping || hel.state == runRejected {
+func (sta *State) stop(pla *placement) {
+	if pla == nil || pla.state == runStopping || pla.state == runRejected {
 		return
 	}
-	hel.state, hel.since, hel.stopSent = runStopping, sta.now, time.Time{}
+	pla.state, pla.since, pla.stopSent = runStopping, sta.now, time.Time{}
 }
 
-// pursueStops sends the stops that are due.
-func (sta *State) pursueStops() {
+// sendStops sends the stops that are due.
+func (sta *State) sendStops() {
 	for _, hos := range sta.hostList {
 		if !hos.fenced {
 			continue
 		}
-		for _, hel := range hos.list {
-			due := hel.state == runStopping || hel.state == runRejected && sta.now.Sub(hel.since) > stopRetry+sta.opt.StopTime
-			if !due || hel.stopBusy || sta.now.Sub(hel.stopSent) < stopRetry {
+		for _, pla := range hos.runList {
+			due := pla.state == runStopping || pla.state == runRejected && sta.now.Sub(pla.since) > stopRetryInterval+sta.opt.StopTime
+			if !due || pla.stopInFlight || sta.now.Sub(pla.stopSent) < stopRetryInterval {
 				continue
 			}
-			hel.stopSent, hel.stopBusy = sta.now, true
-			sta.emit(Stop{VM: hos.vm, Task: hel.task, Run: hel.run})
+			pla.stopSent, pla.stopInFlight = sta.now, true
+			sta.emit(Stop{VM: hos.vm, Task: pla.task, Run: pla.run})
 		}
 	}
 }
@@ -45,74 +45,74 @@
 // stopAnswered takes in the answer to a stop. After it, a run that hasn't come
 // yet is rejected; one that is there ends and is listed.
 func (sta *State) stopAnswered(hos *host, evt StopAnswered) {
-	hel := hos.runs[evt.Task]
-	if hel == nil || hel.run != evt.Run {
+	pla := hos.runs[evt.Task]
+	if pla == nil || pla.run != evt.Run {
 		return
 	}
-	hel.stopBusy = false
+	pla.stopInFlight = false
 	switch evt.Result {
 	case worker.ResultOK, worker.ResultOldRun:
-		if hel.state == runStopping {
-			hel.state, hel.since = runRejected, sta.now
-			hos.nextLook = sta.now
+		if pla.state == runStopping {
+			pla.state, pla.since = runRejected, sta.now
+			hos.nextPoll = sta.now
 		}
 	case worker.ResultFenced:
-		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
 	case worker.ResultOtherIncarnation:
-		sta.lose(hos, "another life answers at its address")
+		sta.removeHost(hos, "another life answers at its address")
 	}
 }
 
 // startAnswered takes in the answer to a start.
 func (sta *State) startAnswered(hos *host, evt StartAnswered) {
-	hel := hos.runs[evt.Task]
-	if hel == nil || hel.run != evt.Run || hel.state != runOrdered {
-		sta.startAfterwards(hos, evt)
+	pla := hos.runs[evt.Task]
+	if pla == nil || pla.run != evt.Run || pla.state != runOrdered {
+		sta.staleStartAnswered(hos, evt)
 		return
 	}
 	switch evt.Result {
 	case worker.ResultOK:
-		hel.confirm(runRunning, sta.now)
+		pla.setState(runRunning, sta.now)
 	case worker.ResultUnknown:
-		hel.state, hel.since = runUnknown, sta.now
-		hos.nextLook = sta.now
+		pla.state, pla.since = runUnknown, sta.now
+		hos.nextPoll = sta.now
 	default:
-		sta.startRefused(hos, hel, evt.Result)
+		sta.startRefused(hos, pla, evt.Result)
 	}
 	if evt.Result != worker.ResultOK {
-		sta.note("start_refused", evt.Task.Job, map[string]any{"task": evt.Task.String(), "run": evt.Run, "vm": hos.vm.ID, "result": evt.Result.String()})
+		sta.logDecision("start_refused", evt.Task.Job, map[string]any{"task": evt.Task.String(), "run": evt.Run, "vm": hos.vm.ID, "result": evt.Result.String()})
 	}
 }
 
-// startAfterwards takes in the answer to a start whose run has been stopped,
+// staleStartAnswered takes in the answer to a start whose run has been stopped,
 // seen or ended since.
-func (sta *State) startAfterwards(hos *host, evt StartAnswered) {
+func (sta *State) staleStartAnswered(hos *host, evt StartAnswered) {
 	switch evt.Result {
 	case worker.ResultFenced:
-		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
 	case worker.ResultOtherIncarnation:
-		sta.lose(hos, "another life answers at its address")
+		sta.removeHost(hos, "another life answers at its address")
 	}
 }
 
 // startRefused takes in that a VM did not start a run, and never will.
-func (sta *State) startRefused(hos *host, hel *held, res worker.Result) {
-	stg, name := hel.stage, hel.task
+func (sta *State) startRefused(hos *host, pla *placement, res worker.Result) {
+	stg, name := pla.stage, pla.task
 	switch res {
 	case worker.ResultFenced:
-		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
 		return
 	case worker.ResultOtherIncarnation:
-		sta.lose(hos, "another life answers at its address")
+		sta.removeHost(hos, "another life answers at its address")
 	default:
-		sta.drop(hos, hel)
+		sta.release(hos, pla)
 	}
 	switch res {
 	case worker.ResultNoRoom, worker.ResultLate:
-		hos.quarantine = sta.now.Add(startRetry)
-		hos.nextLook, hos.reportDue = sta.now, true
+		hos.quarantinedUntil = sta.now.Add(startRetryDelay)
+		hos.nextPoll, hos.reportDue = sta.now, true
 	case worker.ResultUnhealthy:
-		hos.quarantine = sta.now.Add(unhealthyPause)
+		hos.quarantinedUntil = sta.now.Add(unhealthyPause)
 	case worker.ResultNoTicket:
 		if stg != nil {
 			// The VM may not have been asked about, or the ticket has expired.
@@ -120,6 +120,6 @@
 		}
 	}
 	if stg != nil && name.Index < len(stg.tasks) {
-		stg.tasks[name.Index].notBefore = sta.now.Add(startRetry)
+		stg.tasks[name.Index].notBefore = sta.now.Add(startRetryDelay)
 	}
 }
--- a/internal/core/scheduler/overload_test.go
+++ b/internal/core/scheduler/overload_test.go
@@ -83,7 +83,7 @@
 		{"long enough to wait", step(1000, 900, 2*time.Second), 0},
 		{"worthless", step(1000, 900, time.Second), 7*time.Second - 2200*time.Millisecond},
 		{"fits the smaller", step(1000, 50_000, 2*time.Second), 0},
-		{"fits neither", step(9000, 50_000, 2*time.Second), unfitRetry},
+		{"fits neither", step(9000, 50_000, 2*time.Second), oversizedRetry},
 		{"lasting", lasting, 0},
 	} {
 		after, reason := loa.Admit(que, tst.spec)
--- a/internal/core/scheduler/pace.go
+++ b/internal/core/scheduler/pace.go
@@ -6,25 +6,25 @@
 // whether tasks both serve and fill there.
 func (hos *host) tailRatio() (ratio float64, mixed bool) {
 	serves, fills := false, false
-	for _, hel := range hos.list {
-		if hel.stage == nil {
+	for _, pla := range hos.runList {
+		if pla.stage == nil {
 			continue
 		}
-		ste := hel.stage.step
+		ste := pla.stage.step
 		fills = fills || ste.Fills
 		if ste.TailTarget <= 0 {
 			continue
 		}
 		serves = true
-		if hel.percent == atWork {
-			ratio = max(ratio, float64(hel.load)/float64(ste.TailTarget.Milliseconds()))
+		if pla.percent == percentWorking {
+			ratio = max(ratio, float64(pla.load)/float64(ste.TailTarget.Milliseconds()))
 		}
 	}
 	return ratio, serves && fills
 }
 
-// control sets the pace of a VM's tasks that fill, after a look.
-func (sta *State) control(hos *host) {
+// controlPace sets the pace of a VM's tasks that fill, after a look.
+func (sta *State) controlPace(hos *host) {
 	ratio, mixed := hos.tailRatio()
 	if !mixed {
 		ratio = 0
@@ -32,28 +32,28 @@
 	before := hos.pace.Percent
 	hos.pace = hos.pace.WithTailRatio(sta.now, ratio)
 	if hos.pace.Percent != before {
-		sta.note("pace_changed", "", map[string]any{"vm": hos.vm.ID, "percent": hos.pace.Percent, "tail_ratio": ratio})
+		sta.logDecision("pace_changed", "", map[string]any{"vm": hos.vm.ID, "percent": hos.pace.Percent, "tail_ratio": ratio})
 	}
-	for _, hel := range hos.list {
-		if hel.stage == nil || !hel.stage.step.Fills || hel.state != runRunning || hel.pace == hos.pace.Percent || hel.paceBusy {
+	for _, pla := range hos.runList {
+		if pla.stage == nil || !pla.stage.step.Fills || pla.state != runRunning || pla.pace == hos.pace.Percent || pla.paceInFlight {
 			continue
 		}
-		hel.paceBusy = true
-		sta.emit(Pace{VM: hos.vm, Task: hel.task, Run: hel.run, Percent: hos.pace.Percent})
+		pla.paceInFlight = true
+		sta.emit(Pace{VM: hos.vm, Task: pla.task, Run: pla.run, Percent: hos.pace.Percent})
 	}
 }
 
 // paceAnswered takes in the answer to a pace.
 func (sta *State) paceAnswered(hos *host, evt PaceAnswered) {
-	hel := hos.runs[evt.Task]
-	if hel == nil {
+	pla := hos.runs[evt.Task]
+	if pla == nil {
 		return
 	}
-	hel.paceBusy = false
+	pla.paceInFlight = false
 	switch evt.Result {
 	case worker.ResultOK:
-		hel.pace = evt.Percent
+		pla.pace = evt.Percent
 	case worker.ResultFenced:
-		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
 	}
 }
--- a/internal/core/scheduler/save.go
+++ b/internal/core/scheduler/save.go
@@ -13,13 +13,13 @@
 const (
 	// saveDelay is how long the progress of a job that goes on waits for more.
 	saveDelay = 90 * time.Millisecond
-	// saveRetry is the time between two tries of a write that failed.
-	saveRetry = 60 * time.Millisecond
+	// saveRetryDelay is the time between two tries of a write that failed.
+	saveRetryDelay = 60 * time.Millisecond
 )
 
-// entriesReserved is the number of entries of a transaction that the runner
+// reservedEntries is the number of entries of a transaction that the runner
 // adds: the condition that this process still holds the duty.
-const entriesReserved = 1
+const reservedEntries = 1
 
 // Entries of a transaction that a job takes.
 const (
@@ -27,9 +27,9 @@
 	finalEntries    = 6
 )
 
-// save writes what has to be stored, as much as a transaction holds.
-func (sta *State) save() {
-	if sta.commit.busy || sta.now.Before(sta.commit.retryAt) {
+// saveRecords writes what has to be stored, as much as a transaction holds.
+func (sta *State) saveRecords() {
+	if sta.commit.inFlight || sta.now.Before(sta.commit.retryAt) {
 		return
 	}
 	var txn kv.Txn
@@ -42,23 +42,23 @@
 		if liv.final != "" {
 			need = finalEntries
 		}
-		if txn.Len()+need+entriesReserved > kv.MaxTxnEntries {
+		if txn.Len()+need+reservedEntries > kv.MaxTxnEntries {
 			continue
 		}
-		if wri, ok := sta.write(&txn, liv); ok {
+		if wri, ok := sta.addRecord(&txn, liv); ok {
 			writes = append(writes, wri)
 		}
 	}
-	retired := sta.retire(&txn)
-	if len(writes) == 0 && retired == 0 {
+	purged := sta.purge(&txn)
+	if len(writes) == 0 && purged == 0 {
 		return
 	}
-	sta.commit = commit{busy: true, jobs: writes, retired: retired}
+	sta.commit = commit{inFlight: true, jobs: writes, purged: purged}
 	sta.emit(Commit{Txn: txn})
 }
 
-// write adds a job's record to a transaction.
-func (sta *State) write(txn *kv.Txn, liv *live) (wri jobWrite, ok bool) {
+// addRecord adds a job's record to a transaction.
+func (sta *State) addRecord(txn *kv.Txn, liv *liveJob) (wri jobWrite, ok bool) {
 	id := liv.spec.ID
 	var value []byte
 	var err error
@@ -68,10 +68,10 @@
 		value, err = job.Marshal(liv.progress())
 	}
 	if err != nil {
-		sta.note("record_not_encoded", id, map[string]any{"error": err.Error()})
+		sta.logDecision("record_not_encoded", id, map[string]any{"error": err.Error()})
 		return jobWrite{}, false
 	}
-	wri = jobWrite{live: liv, acks: liv.acks, final: liv.final != ""}
+	wri = jobWrite{liveJob: liv, acks: liv.acks, final: liv.final != ""}
 	liv.acks, liv.dirtySince = nil, time.Time{}
 	txn.Conditions = append(txn.Conditions, kv.Condition{Key: job.ProgressKey(id), Revision: liv.progressRev})
 	if !wri.final {
@@ -85,7 +85,7 @@
 }
 
 // progress returns what must outlast the dispatcher.
-func (liv *live) progress() job.Progress {
+func (liv *liveJob) progress() job.Progress {
 	var pro job.Progress
 	for num, occ := range liv.occs {
 		for i := range occ.stages {
@@ -108,66 +108,66 @@
 
 // committed takes in the answer to a write.
 func (sta *State) committed(evt Committed) {
-	writes, retired := sta.commit.jobs, sta.commit.retired
+	writes, purged := sta.commit.jobs, sta.commit.purged
 	sta.commit = commit{}
 	var con *kv.ConflictError
 	switch {
 	case evt.Err == nil:
-		sta.retired(retired)
+		sta.purged(purged)
 		for _, wri := range writes {
-			sta.written(wri, evt.Revision)
+			sta.recordStored(wri, evt.Revision)
 		}
 	case errors.As(evt.Err, &con):
 		for _, wri := range writes {
-			sta.conflicted(wri, con)
+			sta.recordConflicted(wri, con)
 		}
 	default:
-		sta.commit.retryAt = sta.now.Add(saveRetry)
-		sta.note("write_failed", "", map[string]any{"jobs": len(writes), "error": evt.Err.Error()})
+		sta.commit.retryAt = sta.now.Add(saveRetryDelay)
+		sta.logDecision("write_failed", "", map[string]any{"jobs": len(writes), "error": evt.Err.Error()})
 		for _, wri := range writes {
-			sta.rewrite(wri)
+			sta.retryRecord(wri)
 		}
 	}
 }
 
-func (sta *State) written(wri jobWrite, rev kv.Revision) {
+func (sta *State) recordStored(wri jobWrite, rev kv.Revision) {
 	for _, ack := range wri.acks {
-		sta.ackable(ack.host, ack.number)
+		sta.markAckable(ack.host, ack.number)
 	}
-	wri.live.progressRev = rev
+	wri.liveJob.progressRev = rev
 	if !wri.final {
 		return
 	}
 	// Ends that came while the record was being written need no other one.
-	for _, ack := range wri.live.acks {
-		sta.ackable(ack.host, ack.number)
+	for _, ack := range wri.liveJob.acks {
+		sta.markAckable(ack.host, ack.number)
 	}
-	sta.forget(wri.live)
+	sta.forgetJob(wri.liveJob)
 }
 
-// conflicted takes in that a write failed for a condition: a former write of
+// recordConflicted takes in that a write failed for a condition: a former write of
 // the same job, whose answer was lost, has taken effect.
-func (sta *State) conflicted(wri jobWrite, con *kv.ConflictError) {
-	id := wri.live.spec.ID
+func (sta *State) recordConflicted(wri jobWrite, con *kv.ConflictError) {
+	id := wri.liveJob.spec.ID
 	if wri.final && con.Item(job.EndedKey(id)).Revision != 0 {
-		sta.written(wri, con.Item(job.EndedKey(id)).Revision)
+		sta.recordStored(wri, con.Item(job.EndedKey(id)).Revision)
 		return
 	}
-	wri.live.progressRev = con.Item(job.ProgressKey(id)).Revision
-	sta.rewrite(wri)
+	wri.liveJob.progressRev = con.Item(job.ProgressKey(id)).Revision
+	sta.retryRecord(wri)
 }
 
-// rewrite has a job stored again.
-func (sta *State) rewrite(wri jobWrite) {
-	wri.live.acks = append(wri.acks, wri.live.acks...)
-	wri.live.dirtySince = sta.now.Add(-saveDelay)
+// retryRecord has a job stored again.
+func (sta *State) retryRecord(wri jobWrite) {
+	wri.liveJob.acks = append(wri.acks, wri.liveJob.acks...)
+	wri.liveJob.dirtySince = sta.now.Add(-saveDelay)
 }
 
-// forget removes a job that is stored as ended. Its runs are still stopped.
-func (sta *State) forget(liv *live) {
+// forgetJob removes a job that is stored as ended. Its runs are still stopped.
+func (sta *State) forgetJob(liv *liveJob) {
 	id := liv.spec.ID
 	delete(sta.jobs, id)
-	sta.jobList = slices.DeleteFunc(sta.jobList, func(oth *live) bool { return oth == liv })
+	sta.jobList = slices.DeleteFunc(sta.jobList, func(oth *liveJob) bool { return oth == liv })
 	sta.ended.put(sta.now, id, true)
-	sta.retiring = append(sta.retiring, EndedJob{ID: id, At: sta.now})
+	sta.endedJobs = append(sta.endedJobs, EndedJob{ID: id, At: sta.now})
 }
--- a/internal/core/scheduler/schedule_test.go
+++ b/internal/core/scheduler/schedule_test.go
@@ -160,14 +160,14 @@
 			emu.fail("%s lists %d ends that are not acknowledged, the first is %v", hos.vm.ID, len(vm.ends), vm.ends[0])
 		}
 		used := job.Size{}
-		for _, hel := range hos.list {
-			used = used.Plus(hel.room)
-			usage[hel.owner] = usage[hel.owner].Plus(hel.size)
-			if hos.runs[hel.task] != hel {
-				emu.fail("%s holds run %d of %s beside another one", hos.vm.ID, hel.run, hel.task)
+		for _, pla := range hos.runList {
+			used = used.Plus(pla.reserved)
+			usage[pla.account] = usage[pla.account].Plus(pla.size)
+			if hos.runs[pla.task] != pla {
+				emu.fail("%s holds run %d of %s beside another one", hos.vm.ID, pla.run, pla.task)
 			}
-			if emu.vms[hos.vm.Address].runs[hel.task] == nil {
-				emu.fail("%s is thought to hold %s", hos.vm.ID, hel.task)
+			if emu.vms[hos.vm.Address].runs[pla.task] == nil {
+				emu.fail("%s is thought to hold %s", hos.vm.ID, pla.task)
 			}
 		}
 		if used != hos.used {
--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -11,16 +11,16 @@
 
 // Times of the list of machines.
 const (
-	// listPause is the time between two lists while something waits for them.
-	listPause = 500 * time.Millisecond
-	// listSoon is that time after an order for a machine.
-	listSoon = 60 * time.Millisecond
-	// listRest is that time while nothing does.
-	listRest = 10 * time.Second
+	// listInterval is the time between two lists while something waits for them.
+	listInterval = 500 * time.Millisecond
+	// listDelayAfterOrder is that time after an order for a machine.
+	listDelayAfterOrder = 60 * time.Millisecond
+	// idleListInterval is that time while nothing does.
+	idleListInterval = 10 * time.Second
 )
 
-// waveAsked takes in a wave.
-func (sta *State) waveAsked(evt WaveRequested) {
+// waveRequested takes in a wave.
+func (sta *State) waveRequested(evt WaveRequested) {
 	if wav := sta.waves[evt.Wave.Number]; wav != nil {
 		return
 	}
@@ -29,7 +29,7 @@
 		plan = plan.WithBegun(name)
 	}
 	sta.waves[evt.Wave.Number] = &wave{plan: plan, down: map[string]downMachine{}, ordered: map[string]bool{}}
-	sta.note("wave_asked", "", map[string]any{"wave": evt.Wave.Number, "machines": len(evt.Wave.Machines), "cap": evt.Wave.Cap, "duration_ms": evt.Wave.Duration.Milliseconds(), "begun": len(evt.Begun)})
+	sta.logDecision("wave_asked", "", map[string]any{"wave": evt.Wave.Number, "machines": len(evt.Wave.Machines), "cap": evt.Wave.Cap, "duration_ms": evt.Wave.Duration.Milliseconds(), "begun": len(evt.Begun)})
 	sta.emit(SaveWave{Number: evt.Wave.Number, Begun: evt.Begun})
 }
 
@@ -53,11 +53,11 @@
 	exists := func(name string) bool { _, ok := sta.machines.byName[name]; return ok }
 	if wav.plan.Completed(exists) && len(wav.ordered) == 0 {
 		wav.completed = true
-		sta.note("wave_completed", "", map[string]any{"wave": number, "age_ms": sta.now.Sub(wav.plan.RequestedAt).Milliseconds()})
+		sta.logDecision("wave_completed", "", map[string]any{"wave": number, "age_ms": sta.now.Sub(wav.plan.RequestedAt).Milliseconds()})
 		sta.emit(SaveWave{Number: number, Begun: wav.begun(), Completed: true})
 		return
 	}
-	if !sta.maySteer() {
+	if !sta.mayOrderMachines() {
 		return
 	}
 	var cans []upkeep.Candidate
@@ -67,7 +67,7 @@
 		}
 		cans = append(cans, sta.candidate(name))
 	}
-	stp := wav.plan.Next(sta.now, cans, sta.downOf(wav)+len(wav.ordered), sta.opt.UpkeepTime)
+	stp := wav.plan.Next(sta.now, cans, sta.countDown(wav)+len(wav.ordered), sta.opt.UpkeepTime)
 	for _, name := range stp.Cordon {
 		if hos := sta.hosts[sta.machines.byName[name].VM]; hos != nil {
 			hos.cordoned = true
@@ -86,25 +86,25 @@
 		if hos := sta.hosts[sta.machines.byName[name].VM]; hos != nil {
 			hos.goingDown = true
 		}
-		sta.note("upkeep_ordered", "", map[string]any{"machine": name, "wave": number, "vm": sta.machines.byName[name].VM})
+		sta.logDecision("upkeep_ordered", "", map[string]any{"machine": name, "wave": number, "vm": sta.machines.byName[name].VM})
 		sta.emit(Upkeep{Machine: name, Wave: number})
 	}
 }
 
-// steerDelay is how long a dispatcher keeps apart from the orders for machines
+// machineOrderDelay is how long a dispatcher keeps apart from the orders for machines
 // of a former one, which stopped to send them before its lease ended. Machines
 // do not tell terms apart.
-const steerDelay = 600 * time.Millisecond
+const machineOrderDelay = 600 * time.Millisecond
 
-// maySteer reports whether orders for machines may be given.
+// mayOrderMachines reports whether orders for machines may be given.
 // After a takeover they wait for a list of machines that shows what the former
 // dispatcher ordered last.
-func (sta *State) maySteer() bool {
+func (sta *State) mayOrderMachines() bool {
 	if sta.opt.Term == 1 {
 		return true
 	}
-	if sta.machines.listed.Before(sta.opt.Since.Add(steerDelay)) {
-		sta.machines.wanted = !sta.now.Before(sta.opt.Since.Add(steerDelay))
+	if sta.machines.listed.Before(sta.opt.Since.Add(machineOrderDelay)) {
+		sta.machines.refreshDue = !sta.now.Before(sta.opt.Since.Add(machineOrderDelay))
 		return false
 	}
 	return true
@@ -118,10 +118,10 @@
 	return names
 }
 
-// downOf returns how many machines of a wave are down for upkeep: those that the
+// countDown returns how many machines of a wave are down for upkeep: those that the
 // list shows so, and those ordered since. A machine is back once the list shows
 // it up with another VM.
-func (sta *State) downOf(wav *wave) int {
+func (sta *State) countDown(wav *wave) int {
 	for name, dow := range wav.down {
 		mac, ok := sta.machines.byName[name]
 		back := mac.State == worker.MachineUp && mac.VM != dow.vm
@@ -147,39 +147,39 @@
 	if hos == nil {
 		return can
 	}
-	if hos.vm.Leaving || hos.failedLooks > 0 || !hos.fenced {
+	if hos.vm.Leaving || hos.failedPolls > 0 || !hos.fenced {
 		can.Up = false
 		return can
 	}
 	shares := map[*stage]upkeep.StepShare{}
-	var lasting []*stage
-	for _, hel := range hos.list {
-		stg := hel.stage
-		if stg == nil || stg.live.final != "" {
+	var longRunning []*stage
+	for _, pla := range hos.runList {
+		stg := pla.stage
+		if stg == nil || stg.liveJob.final != "" {
 			continue
 		}
 		if stg.step.LongRunning {
 			sha, seen := shares[stg]
 			if !seen {
-				lasting = append(lasting, stg)
+				longRunning = append(longRunning, stg)
 			}
-			if hel.working() {
+			if pla.working() {
 				sha.Local++
 			}
 			shares[stg] = sha
 			continue
 		}
-		left := stg.step.Estimate - sta.now.Sub(hel.since)
+		left := stg.step.Estimate - sta.now.Sub(pla.since)
 		can.Remaining = max(can.Remaining, left)
-		can.LostWork += stg.step.Size.Cores() * sta.now.Sub(hel.since).Seconds()
+		can.LostWork += stg.step.Size.Cores() * sta.now.Sub(pla.since).Seconds()
 		if can.LostWork == 0 {
 			can.LostWork = stg.step.Size.Cores()
 		}
 	}
-	for _, stg := range lasting {
+	for _, stg := range longRunning {
 		sha := shares[stg]
 		sha.MayMiss = stg.step.MayMiss
-		sha.Unavailable = stg.away(hos)
+		sha.Unavailable = stg.countUnavailable(hos)
 		can.StepShares = append(can.StepShares, sha)
 	}
 	return can
@@ -190,57 +190,57 @@
 func (sta *State) relocate(name string) {
 	hos := sta.hosts[sta.machines.byName[name].VM]
 	done := map[*stage]bool{}
-	for _, hel := range hos.list {
-		stg := hel.stage
-		if stg == nil || !stg.step.LongRunning || done[stg] || !hel.working() {
+	for _, pla := range hos.runList {
+		stg := pla.stage
+		if stg == nil || !stg.step.LongRunning || done[stg] || !pla.working() {
 			continue
 		}
-		sha := upkeep.StepShare{Local: hos.working(stg), Unavailable: stg.away(hos), MayMiss: stg.step.MayMiss}
+		sha := upkeep.StepShare{Local: hos.working(stg), Unavailable: stg.countUnavailable(hos), MayMiss: stg.step.MayMiss}
 		if !sha.NeedsRelocation() {
 			continue
 		}
 		done[stg] = true
-		sta.note("task_relocated", hel.task.Job, map[string]any{"task": hel.task.String(), "run": hel.run, "vm": hos.vm.ID, "machine": name})
-		sta.stop(hel)
+		sta.logDecision("task_relocated", pla.task.Job, map[string]any{"task": pla.task.String(), "run": pla.run, "vm": hos.vm.ID, "machine": name})
+		sta.stop(pla)
 	}
 }
 
 // working reports whether the run is at work and has not been told to stop.
-func (hel *held) working() bool { return hel.state == runRunning && hel.percent >= atWork }
+func (pla *placement) working() bool { return pla.state == runRunning && pla.percent >= percentWorking }
 
 // working counts the tasks of a stage that are at work on a VM.
 func (hos *host) working(stg *stage) int {
 	n := 0
-	for _, hel := range hos.list {
-		if hel.stage == stg && hel.working() {
+	for _, pla := range hos.runList {
+		if pla.stage == stg && pla.working() {
 			n++
 		}
 	}
 	return n
 }
 
-// atWork is the percent of a task that lasts and is at work.
-const atWork = 100
+// percentWorking is the percent of a task that lasts and is at work.
+const percentWorking = 100
 
-// away returns how many tasks of a stage that lasts are not at work. Those that
+// countUnavailable returns how many tasks of a stage that lasts are not at work. Those that
 // are at work on one VM are left out.
-func (stg *stage) away(but *host) int {
+func (stg *stage) countUnavailable(except *host) int {
 	n := 0
 	for i := range stg.tasks {
 		hos := stg.tasks[i].host
-		if hos == but {
+		if hos == except {
 			name := stg.task(i)
-			if hel := hos.runs[name]; hel != nil && !hel.working() {
+			if pla := hos.runs[name]; pla != nil && !pla.working() {
 				n++
 			}
 			continue
 		}
-		if hos == nil || hos.failedLooks > 0 || hos.vm.Leaving || hos.goingDown {
+		if hos == nil || hos.failedPolls > 0 || hos.vm.Leaving || hos.goingDown {
 			n++
 			continue
 		}
-		for _, hel := range hos.list {
-			if hel.stage == stg && hel.task.Index == i && !hel.working() {
+		for _, pla := range hos.runList {
+			if pla.stage == stg && pla.task.Index == i && !pla.working() {
 				n++
 			}
 		}
@@ -250,7 +250,7 @@
 
 // machineAnswered takes in the answer to an order for a machine.
 func (sta *State) machineAnswered(evt MachineAnswered) {
-	sta.note("machine_answered", "", map[string]any{"machine": evt.Machine, "wave": evt.Wave, "result": evt.Result.String()})
+	sta.logDecision("machine_answered", "", map[string]any{"machine": evt.Machine, "wave": evt.Wave, "result": evt.Result.String()})
 	if evt.Wave == 0 {
 		sta.moveAnswered(evt)
 		return
@@ -267,7 +267,7 @@
 	vm := sta.machines.byName[evt.Machine].VM
 	if evt.Result != worker.MachineOK {
 		if hos := sta.hosts[vm]; hos != nil {
-			sta.orderFailed(hos, evt.Result)
+			sta.machineOrderFailed(hos, evt.Result)
 		}
 		return
 	}
@@ -276,16 +276,16 @@
 	sta.emit(SaveWave{Number: evt.Wave, Begun: wav.begun()})
 	if hos := sta.hosts[vm]; hos != nil {
 		hos.downAnswered = sta.now
-		sta.machines.wanted = true
+		sta.machines.refreshDue = true
 	}
 }
 
-// orderFailed takes in that an order for a host's machine was not carried out,
+// machineOrderFailed takes in that an order for a host's machine was not carried out,
 // as far as is known.
-func (sta *State) orderFailed(hos *host, res worker.MachineResult) {
+func (sta *State) machineOrderFailed(hos *host, res worker.MachineResult) {
 	if res == worker.MachineUnknown {
 		hos.downAnswered = sta.now
-		sta.machines.wanted = true
+		sta.machines.refreshDue = true
 		return
 	}
 	hos.goingDown = false
@@ -294,7 +294,7 @@
 // machinesListed takes in the list of machines. It tells which lives have
 // ended.
 func (sta *State) machinesListed(evt MachinesListed) {
-	sta.machines.busy = false
+	sta.machines.inFlight = false
 	if evt.Machines == nil {
 		return
 	}
@@ -309,61 +309,61 @@
 	}
 	sta.machineNames = slices.Sorted(maps.Keys(sta.machines.byName))
 	for _, hos := range slices.Clone(sta.hostList) {
-		sta.checkListed(hos, evt.RequestedAt)
+		sta.applyListing(hos, evt.RequestedAt)
 	}
 }
 
-// checkListed takes in what a list of machines that was asked for at a time says
+// applyListing takes in what a list of machines that was asked for at a time says
 // of a host.
-func (sta *State) checkListed(hos *host, asked time.Time) {
+func (sta *State) applyListing(hos *host, requestedAt time.Time) {
 	name, ok := sta.machines.byVM[hos.vm.ID]
 	mac := sta.machines.byName[name]
-	ordered := hos.goingDown && !hos.downAnswered.IsZero() && asked.After(hos.downAnswered)
+	ordered := hos.goingDown && !hos.downAnswered.IsZero() && requestedAt.After(hos.downAnswered)
 	switch {
 	case ordered && ok && mac.State == worker.MachineUp:
-		sta.note("order_without_effect", "", map[string]any{"machine": name, "vm": hos.vm.ID})
+		sta.logDecision("order_without_effect", "", map[string]any{"machine": name, "vm": hos.vm.ID})
 		hos.goingDown, hos.downAnswered = false, time.Time{}
 		delete(sta.moves, name)
 		for _, wav := range sta.waves {
 			delete(wav.down, name)
 		}
 	case ordered:
-		sta.lose(hos, "its machine went down as ordered")
-	case (!ok || mac.State != worker.MachineUp) && !hos.fenced && !asked.Before(hos.found):
+		sta.removeHost(hos, "its machine went down as ordered")
+	case (!ok || mac.State != worker.MachineUp) && !hos.fenced && !requestedAt.Before(hos.firstSeen):
 		// Registrations outlast the life of a VM by some seconds.
-		sta.lose(hos, "no machine has this life any more")
-	case hos.failedLooks > 0 && (!ok || mac.State == worker.MachineDown):
-		sta.lose(hos, "the list of machines says that it is down")
+		sta.removeHost(hos, "no machine has this life any more")
+	case hos.failedPolls > 0 && (!ok || mac.State == worker.MachineDown):
+		sta.removeHost(hos, "the list of machines says that it is down")
 	}
 }
 
 // listMachines asks for the list of machines while something waits for it.
 func (sta *State) listMachines() {
-	pause := listRest
-	if sta.restoring() && sta.machines.listed.Before(sta.opt.Since) {
+	pause := idleListInterval
+	if sta.formerLeasesMayHold() && sta.machines.listed.Before(sta.opt.Since) {
 		pause = 0
 	}
 	for _, wav := range sta.waves {
 		if !wav.completed {
-			pause = min(pause, listPause)
+			pause = min(pause, listInterval)
 		}
 	}
 	for _, hos := range sta.hostList {
 		_, listed := sta.machines.byVM[hos.vm.ID]
-		if hos.failedLooks >= suspectFailures || !listed {
-			pause = min(pause, listPause)
+		if hos.failedPolls >= silentAfterPolls || !listed {
+			pause = min(pause, listInterval)
 		}
 	}
 	if len(sta.moves) > 0 {
-		pause = min(pause, listPause)
+		pause = min(pause, listInterval)
 	}
-	if sta.machines.wanted {
-		pause = min(pause, listSoon)
+	if sta.machines.refreshDue {
+		pause = min(pause, listDelayAfterOrder)
 	}
-	if sta.machines.busy || sta.now.Sub(sta.machines.asked) < pause {
+	if sta.machines.inFlight || sta.now.Sub(sta.machines.requestedAt) < pause {
 		return
 	}
-	sta.machines.busy, sta.machines.wanted = true, false
-	sta.machines.asked = sta.now
+	sta.machines.inFlight, sta.machines.refreshDue = true, false
+	sta.machines.requestedAt = sta.now
 	sta.emit(ListMachines{})
 }
