--- a/internal/core/scheduler/account_test.go
+++ b/internal/core/scheduler/account_test.go
@@ -9,10 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestHotAccount has one client account send ten times what it is entitled to, more
+// TestAccountOverEntitlement has one client account send ten times what it is entitled to, more
 // than the pool holds. Once its burst is over, jobs of the other account, which
 // keeps to its rate, end in time.
-func TestHotAccount(t *testing.T) {
+func TestAccountOverEntitlement(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.catalog.Accounts[0].Weight, emu.catalog.Accounts[0].Cap = 6, job.Size{}
 	emu.catalog.Accounts[1].Weight = 4
@@ -40,5 +40,5 @@
 	assert.Equal(t, late["small"], 0)
 	assert.Assert(t, late["large"] > 0, "the pool holds all, so that nothing is tested")
 	assert.Equal(t, len(emu.finished), number)
-	assert.Equal(t, len(emu.broken), 0, "%s", strings.Join(emu.broken, "\n"))
+	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
--- a/internal/core/scheduler/advice_test.go
+++ b/internal/core/scheduler/advice_test.go
@@ -17,11 +17,11 @@
 // turn, as each calling machine does at the platform's advisor.
 type emulatedAdvisor struct {
 	advice  catalog.Advice
-	askers  int
+	slots   int
 	busy    int
 	tickets map[string]time.Time
-	// rejected counts starts without a valid ticket, asked the questions.
-	rejected, asked int
+	// rejected counts starts without a valid ticket, queries the questions.
+	rejected, queries int
 }
 
 func (adv *emulatedAdvisor) allows(now time.Time, ord Start) bool {
@@ -29,12 +29,12 @@
 	return ok && now.Before(until) && strings.HasPrefix(ord.Ticket, ord.VM.ID+"/")
 }
 
-func (emu *emulator) performAdvise(eff QueryAdvisor) {
+func (emu *emulator) performQueryAdvisor(eff QueryAdvisor) {
 	adv := emu.advisor
-	adv.asked++
+	adv.queries++
 	adv.busy++
-	if adv.busy > adv.askers {
-		emu.fail("%d questions at once for %d askers", adv.busy, adv.askers)
+	if adv.busy > adv.slots {
+		emu.fail("%d questions at once for %d askers", adv.busy, adv.slots)
 	}
 	sent, term := emu.now, emu.term
 	emu.after(adv.advice.Decision+time.Duration(len(eff.VMs))*adv.advice.PerVM, func() {
@@ -48,21 +48,21 @@
 		for _, vm := range eff.VMs {
 			index := slices.IndexFunc(emu.names, func(name string) bool { return strings.HasPrefix(vm, name+".") })
 			if (hash.Sum32()+uint32(index))%3 == 0 {
-				text := fmt.Sprintf("%s/%s.%d/%d", vm, eff.Job, eff.Step, adv.asked)
+				text := fmt.Sprintf("%s/%s.%d/%d", vm, eff.Job, eff.Step, adv.queries)
 				evt.Tickets[vm] = text
 				adv.tickets[text] = emu.now.Add(adv.advice.Valid)
 			}
 		}
-		emu.tell(evt)
+		emu.deliver(evt)
 	})
 }
 
-// advisedDay plays jobs that come faster than one asker could ask about them.
-func advisedDay(askers int) *emulator {
+// advisedScenario plays jobs that come faster than one asker could ask about them.
+func advisedScenario(slots int) *emulator {
 	emu := newEmulator(1, testCatalog())
 	emu.advisor = &emulatedAdvisor{
 		advice: catalog.Advice{Decision: 300 * time.Millisecond, PerVM: 2 * time.Millisecond, Valid: 3 * time.Second},
-		askers: askers, tickets: map[string]time.Time{},
+		slots:  slots, tickets: map[string]time.Time{},
 	}
 	emu.catalog.Queues[0].Advice = &emu.advisor.advice
 	emu.addVMs("lots", 12, 4, job.Size{CPU: 16_000, Memory: 32_768})
@@ -73,10 +73,10 @@
 	return emu
 }
 
-// TestAdviceByManyAskers has 10 jobs of two steps a second, of which each step
+// TestConcurrentAdvisorQueries has 10 jobs of two steps a second, of which each step
 // needs a question of 0.3 s. Nine askers keep up with them.
-func TestAdviceByManyAskers(t *testing.T) {
-	emu := advisedDay(9)
+func TestConcurrentAdvisorQueries(t *testing.T) {
+	emu := advisedScenario(9)
 	emu.run(20 * time.Second)
 	late := 0
 	for id, spe := range emu.specs {
@@ -89,13 +89,13 @@
 	}
 	assert.Equal(t, late, 0)
 	assert.Equal(t, emu.advisor.rejected, 0, "starts without a ticket")
-	assert.Equal(t, len(emu.broken), 0, "%s", strings.Join(emu.broken, "\n"))
+	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
-// TestAdviceOutlastsTickets has tickets expire while tasks still wait for room.
+// TestAdviceRenewedAfterExpiry has tickets expire while tasks still wait for room.
 // The dispatcher asks again, and all jobs end.
-func TestAdviceOutlastsTickets(t *testing.T) {
-	emu := advisedDay(9)
+func TestAdviceRenewedAfterExpiry(t *testing.T) {
+	emu := advisedScenario(9)
 	emu.advisor.advice.Valid = 700 * time.Millisecond
 	emu.duration = func(job.Task, job.Step) time.Duration { return 3 * time.Second }
 	emu.run(60 * time.Second)
@@ -103,11 +103,11 @@
 	assert.Equal(t, emu.advisor.rejected, 0, "starts without a ticket")
 }
 
-// TestAdviceThroughTakeover ends the dispatcher with questions under way.
-func TestAdviceThroughTakeover(t *testing.T) {
-	emu := advisedDay(3)
+// TestAdviceAcrossTakeover ends the dispatcher with questions under way.
+func TestAdviceAcrossTakeover(t *testing.T) {
+	emu := advisedScenario(3)
 	emu.after(5*time.Second, emu.killDispatcher)
 	emu.run(60 * time.Second)
 	assert.Equal(t, len(emu.finished), 100)
-	assert.Equal(t, len(emu.broken), 0, "%s", strings.Join(emu.broken, "\n"))
+	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
--- a/internal/core/scheduler/attempts_test.go
+++ b/internal/core/scheduler/attempts_test.go
@@ -9,27 +9,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// vmNamed is a VM of the test's pool.
-func vmNamed(name string) worker.VM {
+// testVM is a VM of the test's pool.
+func testVM(name string) worker.VM {
 	return worker.VM{ID: name, Born: 1, Pool: "lots", Address: name, AZ: "az0", Capacity: job.Size{CPU: 16_000, Memory: 32_768}}
 }
 
-// ended is a VM's answer to a look that lists one end.
-func ended(vm worker.VM, sent time.Time, end worker.End) PollAnswered {
+// reportedEnd is a VM's answer to a look that lists one end.
+func reportedEnd(vm worker.VM, sent time.Time, end worker.End) PollAnswered {
 	return PollAnswered{VM: vm, Sent: sent, Report: worker.Report{Born: vm.Born, Clock: time.Second, Ends: []worker.End{end}}}
 }
 
-// TestFailuresHeardInReverse takes over from a dispatcher that saw two runs of a
+// TestFailuresReportedOutOfOrder takes over from a dispatcher that saw two runs of a
 // task fail and stored neither. The VM with the later run answers first. Both
 // runs count, so that the task is not started beyond its attempts.
-func TestFailuresHeardInReverse(t *testing.T) {
+func TestFailuresReportedOutOfOrder(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	opt := testOptions()
 	opt.Since, opt.Revision, opt.Term = now, 10, 2
 	sta := New(opt)
 	cat := testCatalog()
 	cat.Queues[0].MaxAttempts = 2
-	one, oth := vmNamed("vm-1"), vmNamed("vm-2")
+	one, oth := testVM("vm-1"), testVM("vm-2")
 	spe := fanOut(1, "large", 1, 500, time.Second)
 	spe.Accepted = now
 	name := job.Task{Job: spe.ID}
@@ -41,8 +41,8 @@
 	reduce(MachinesListed{RequestedAt: now, Machines: []worker.Machine{
 		{Name: "m-1", Pool: "lots", State: worker.MachineUp, VM: one.ID}, {Name: "m-2", Pool: "lots", State: worker.MachineUp, VM: oth.ID},
 	}})
-	effects := reduce(ended(oth, now, worker.End{Number: 1, Task: name, Run: 2, Kind: worker.EndFailed}))
-	effects = append(effects, reduce(ended(one, now, worker.End{Number: 1, Task: name, Run: 1, Kind: worker.EndFailed}))...)
+	effects := reduce(reportedEnd(oth, now, worker.End{Number: 1, Task: name, Run: 2, Kind: worker.EndFailed}))
+	effects = append(effects, reduce(reportedEnd(one, now, worker.End{Number: 1, Task: name, Run: 1, Kind: worker.EndFailed}))...)
 	for range 20 {
 		effects = append(effects, reduce(Tick{})...)
 	}
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -41,8 +41,8 @@
 	// faults
 	loseAnswer, loseOrder, lateOrder float64
 	loseCommit, lateCommit           float64
-	// blind says that changes of jobs do not reach the dispatcher.
-	blind bool
+	// watchSilent says that changes of jobs do not reach the dispatcher.
+	watchSilent bool
 	// killOnUpkeep is how often the dispatcher is killed as it orders upkeep.
 	killOnUpkeep float64
 
@@ -53,14 +53,14 @@
 	wave  *upkeep.Wave
 	begun []string
 
-	truth  map[job.Task]*taskTruth
-	broken []string
-	notes  map[string]int
+	truth      map[job.Task]*taskTruth
+	violations []string
+	decisions  map[string]int
 	// finished holds when each job was stored as ended.
 	finished map[job.ID]time.Time
 	specs    map[job.ID]job.Spec
-	// known holds the lives to which connections are kept.
-	known map[string]bool
+	// connected holds the lives to which connections are kept.
+	connected map[string]bool
 	// duration gives a task's true run time; failing says that it always fails.
 	duration func(tas job.Task, ste job.Step) time.Duration
 	failing  func(tas job.Task) bool
@@ -103,27 +103,27 @@
 
 // emulatedVM is one machine with its present life.
 type emulatedVM struct {
-	vm    worker.VM
-	up    bool
-	cut   bool
-	born  time.Time
-	fence int64
-	runs  map[job.Task]*emulatedRun
-	ends  []worker.End
+	vm          worker.VM
+	up          bool
+	partitioned bool
+	born        time.Time
+	fence       int64
+	runs        map[job.Task]*emulatedRun
+	ends        []worker.End
 	// endTimes holds when each end of this life happened, by its number; lapsed is
 	// when the lease last ended.
-	endTimes map[int64]time.Time
-	lapsed   time.Time
-	number   int64
-	tomb     map[job.Task]int
-	deadline time.Duration
-	lives    int
-	waiter   func()
-	fails    bool
-	// away says that the machine is down for upkeep or moves; served holds the
+	endTimes     map[int64]time.Time
+	lapsed       time.Time
+	number       int64
+	tombstones   map[job.Task]int
+	deadline     time.Duration
+	incarnations int
+	waiter       func()
+	failsTasks   bool
+	// offline says that the machine is down for upkeep or moves; served holds the
 	// waves whose upkeep has begun.
-	away   bool
-	served map[int64]bool
+	offline     bool
+	upkeepBegun map[int64]bool
 }
 
 // sorted returns the tasks that run, in the order of their names.
@@ -132,11 +132,11 @@
 }
 
 type emulatedRun struct {
-	run   int
-	since time.Time
-	size  job.Size
-	owner string
-	over  bool
+	run     int
+	since   time.Time
+	size    job.Size
+	account string
+	ended   bool
 }
 
 type emulatedStore struct {
@@ -153,8 +153,8 @@
 	start := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	return &emulator{
 		rng: rand.New(rand.NewPCG(seed, 1)), now: start, start: start, catalog: cat, vms: map[string]*emulatedVM{},
-		store: &emulatedStore{rev: 1, items: map[string]kv.Item{}}, truth: map[job.Task]*taskTruth{}, notes: map[string]int{},
-		finished: map[job.ID]time.Time{}, specs: map[job.ID]job.Spec{}, known: map[string]bool{},
+		store: &emulatedStore{rev: 1, items: map[string]kv.Item{}}, truth: map[job.Task]*taskTruth{}, decisions: map[string]int{},
+		finished: map[job.ID]time.Time{}, specs: map[job.ID]job.Spec{}, connected: map[string]bool{},
 		duration: func(_ job.Task, ste job.Step) time.Duration { return ste.Estimate },
 		failing:  func(job.Task) bool { return false },
 	}
@@ -177,7 +177,7 @@
 }
 
 func (emu *emulator) fail(format string, args ...any) {
-	emu.broken = append(emu.broken, fmt.Sprintf("%6d ms: ", emu.now.Sub(emu.start).Milliseconds())+fmt.Sprintf(format, args...))
+	emu.violations = append(emu.violations, fmt.Sprintf("%6d ms: ", emu.now.Sub(emu.start).Milliseconds())+fmt.Sprintf(format, args...))
 }
 
 // addVMs adds VMs to a pool, some to a rack.
@@ -196,36 +196,36 @@
 
 // boot begins a new life.
 func (emu *emulator) boot(vm *emulatedVM) {
-	vm.lives++
+	vm.incarnations++
 	vm.up = true
 	vm.born = emu.now
-	vm.vm.ID = fmt.Sprintf("%s.%d", vm.vm.Address, vm.lives)
+	vm.vm.ID = fmt.Sprintf("%s.%d", vm.vm.Address, vm.incarnations)
 	vm.vm.Born = emu.now.UnixMilli()
 	vm.fence, vm.number, vm.deadline = 0, 0, 0
-	vm.runs, vm.ends, vm.tomb = map[job.Task]*emulatedRun{}, nil, map[job.Task]int{}
+	vm.runs, vm.ends, vm.tombstones = map[job.Task]*emulatedRun{}, nil, map[job.Task]int{}
 	vm.endTimes, vm.lapsed = map[int64]time.Time{}, time.Time{}
 	one := vm.vm
-	emu.after(emulatedLatency, func() { emu.tell(VMRegistered{VM: one}) })
+	emu.after(emulatedLatency, func() { emu.deliver(VMRegistered{VM: one}) })
 }
 
 // crash ends a life. Its registration goes after a while.
-func (emu *emulator) crash(vm *emulatedVM, back time.Duration) {
+func (emu *emulator) crash(vm *emulatedVM, downtime time.Duration) {
 	if !vm.up {
 		return
 	}
 	vm.up = false
 	for name, run := range vm.runs {
-		emu.endTruth(name, run)
+		emu.recordEnd(name, run)
 	}
 	vm.runs = map[job.Task]*emulatedRun{}
 	id := vm.vm.ID
-	emu.after(4500*time.Millisecond, func() { emu.tell(VMUnregistered{ID: id}) })
-	emu.after(back, func() { emu.boot(vm) })
+	emu.after(4500*time.Millisecond, func() { emu.deliver(VMUnregistered{ID: id}) })
+	emu.after(downtime, func() { emu.boot(vm) })
 }
 
-func (emu *emulator) endTruth(name job.Task, run *emulatedRun) {
-	if !run.over {
-		run.over = true
+func (emu *emulator) recordEnd(name job.Task, run *emulatedRun) {
+	if !run.ended {
+		run.ended = true
 		emu.truthOf(name).running--
 	}
 }
@@ -244,8 +244,8 @@
 	return time.Duration(float64(emu.now.Sub(vm.born)) * 0.98)
 }
 
-// tell brings an event to the dispatcher, if there is one.
-func (emu *emulator) tell(evt Event) {
+// deliver brings an event to the dispatcher, if there is one.
+func (emu *emulator) deliver(evt Event) {
 	if emu.sched == nil || emu.down {
 		return
 	}
@@ -271,7 +271,7 @@
 func (emu *emulator) reduce() {
 	events := emu.inbox
 	emu.inbox = nil
-	if !emu.blind {
+	if !emu.watchSilent {
 		events = append(events, JobWatchProgressed{At: emu.now})
 	}
 	for _, eff := range emu.sched.Reduce(emu.now, events) {
@@ -287,34 +287,34 @@
 	opt.Since, opt.Revision, opt.Term = emu.now, emu.store.rev, emu.term
 	emu.opt = opt
 	emu.sched, emu.inbox, emu.down, emu.waiting = New(opt), nil, false, false
-	emu.known = map[string]bool{}
-	emu.tell(CatalogChanged{Catalog: emu.catalog})
+	emu.connected = map[string]bool{}
+	emu.deliver(CatalogChanged{Catalog: emu.catalog})
 	if emu.advisor != nil {
 		emu.advisor.busy = 0
-		emu.tell(AdvisorSlotsChanged{Count: emu.advisor.askers})
+		emu.deliver(AdvisorSlotsChanged{Count: emu.advisor.slots})
 	}
 	for _, name := range emu.names {
 		if vm := emu.vms[name]; vm.up {
-			emu.tell(VMRegistered{VM: vm.vm})
+			emu.deliver(VMRegistered{VM: vm.vm})
 		}
 	}
 	// The store takes its time to tell the jobs; VMs may answer before.
 	term := emu.term
-	emu.after(emulatedLoad, func() {
+	emu.after(emulatedLoadTime, func() {
 		if term == emu.term {
-			emu.tellJobs()
+			emu.deliverJobs()
 		}
 	})
 }
 
-// emulatedLoad is how long the jobs take to load.
-const emulatedLoad = 30 * time.Millisecond
+// emulatedLoadTime is how long the jobs take to load.
+const emulatedLoadTime = 30 * time.Millisecond
 
-func (emu *emulator) tellJobs() {
+func (emu *emulator) deliverJobs() {
 	for _, itm := range emu.store.sorted(job.LivePrefix) {
 		id, cancelled := job.ParseLiveKey(itm.Key)
 		if cancelled {
-			emu.tell(JobCancelled{ID: id})
+			emu.deliver(JobCancelled{ID: id})
 			continue
 		}
 		evt := JobAccepted{Revision: itm.Revision}
@@ -323,12 +323,12 @@
 			evt.Progress, _ = job.Unmarshal[job.Progress](pro.Value)
 			evt.ProgressRevision = pro.Revision
 		}
-		emu.tell(evt)
+		emu.deliver(evt)
 	}
 	if emu.wave != nil {
-		emu.tell(WaveRequested{Wave: *emu.wave, Begun: emu.begun})
+		emu.deliver(WaveRequested{Wave: *emu.wave, Begun: emu.begun})
 	}
-	emu.tell(Loaded{})
+	emu.deliver(Loaded{})
 	var ended EndedJobsListed
 	for _, itm := range emu.store.sorted(job.EndedPrefix) {
 		out, err := job.Unmarshal[job.Outcome](itm.Value)
@@ -337,7 +337,7 @@
 		}
 		ended.Jobs = append(ended.Jobs, EndedJob{ID: job.ID(itm.Key[len(job.EndedPrefix):]), At: out.At})
 	}
-	emu.tell(ended)
+	emu.deliver(ended)
 }
 
 // killDispatcher ends the dispatcher; another one takes over when the lease
@@ -360,7 +360,7 @@
 	}
 	emu.specs[spe.ID] = spe
 	rev := emu.store.put(job.LiveKey(spe.ID), raw)
-	emu.after(emulatedLatency, func() { emu.tell(JobAccepted{Spec: spe, Revision: rev}) })
+	emu.after(emulatedLatency, func() { emu.deliver(JobAccepted{Spec: spe, Revision: rev}) })
 }
 
 // cancel stores that a job is cancelled, unless it has ended.
@@ -369,31 +369,31 @@
 		return
 	}
 	emu.store.put(job.CancelKey(id), nil)
-	if !emu.blind {
-		emu.after(emulatedLatency, func() { emu.tell(JobCancelled{ID: id}) })
+	if !emu.watchSilent {
+		emu.after(emulatedLatency, func() { emu.deliver(JobCancelled{ID: id}) })
 	}
 }
 
 func (emu *emulator) perform(eff Effect) {
 	switch eff := eff.(type) {
 	case Poll:
-		emu.known[eff.VM.ID] = true
-		emu.performLook(eff)
+		emu.connected[eff.VM.ID] = true
+		emu.performPoll(eff)
 	case Start:
-		emu.carry(eff.VM, func(vm *emulatedVM, term int64) worker.Result { return emu.startOn(vm, eff, term) }, func(res worker.Result) Event {
+		emu.call(eff.VM, func(vm *emulatedVM, term int64) worker.Result { return emu.startOn(vm, eff, term) }, func(res worker.Result) Event {
 			return StartAnswered{VM: eff.VM, Task: eff.Task, Run: eff.Run, Result: res}
 		})
 	case Stop:
-		emu.carry(eff.VM, func(vm *emulatedVM, term int64) worker.Result { return emu.stopOn(vm, eff, term) }, func(res worker.Result) Event {
+		emu.call(eff.VM, func(vm *emulatedVM, term int64) worker.Result { return emu.stopOn(vm, eff, term) }, func(res worker.Result) Event {
 			return StopAnswered{VM: eff.VM, Task: eff.Task, Run: eff.Run, Result: res}
 		})
 	case Commit:
 		emu.performCommit(eff)
 	case QueryAdvisor:
-		emu.performAdvise(eff)
+		emu.performQueryAdvisor(eff)
 	case ListMachines:
 		asked := emu.now
-		emu.after(emulatedLatency, func() { emu.tell(MachinesListed{RequestedAt: asked, Machines: emu.machines()}) })
+		emu.after(emulatedLatency, func() { emu.deliver(MachinesListed{RequestedAt: asked, Machines: emu.machines()}) })
 	case Upkeep:
 		emu.performUpkeep(eff)
 	case Move:
@@ -408,9 +408,9 @@
 	case StepDown:
 		emu.killDispatcher()
 	case Forget:
-		delete(emu.known, eff.VM.ID)
+		delete(emu.connected, eff.VM.ID)
 	case LogDecision:
-		emu.notes[eff.Name]++
+		emu.decisions[eff.Name]++
 	}
 }
 
@@ -421,7 +421,7 @@
 		if !vm.up {
 			mac.State = worker.MachineDown
 		}
-		if vm.away {
+		if vm.offline {
 			mac.State = worker.MachineUpkeep
 		}
 		all = append(all, mac)
@@ -429,23 +429,23 @@
 	return all
 }
 
-// askWave asks for the upkeep of all VMs.
-func (emu *emulator) askWave(wav upkeep.Wave) {
+// requestWave asks for the upkeep of all VMs.
+func (emu *emulator) requestWave(wav upkeep.Wave) {
 	emu.wave = &wav
-	emu.tell(WaveRequested{Wave: wav})
+	emu.deliver(WaveRequested{Wave: wav})
 }
 
-// end ends a life without a trace, as an order for its machine does.
-func (emu *emulator) end(vm *emulatedVM, back time.Duration) {
-	vm.up, vm.away = false, true
+// shutDown ends a life without a trace, as an order for its machine does.
+func (emu *emulator) shutDown(vm *emulatedVM, downtime time.Duration) {
+	vm.up, vm.offline = false, true
 	for name, run := range vm.runs {
-		emu.endTruth(name, run)
+		emu.recordEnd(name, run)
 	}
 	vm.runs = map[job.Task]*emulatedRun{}
 	id := vm.vm.ID
-	emu.after(4500*time.Millisecond, func() { emu.tell(VMUnregistered{ID: id}) })
-	emu.after(back, func() {
-		vm.away = false
+	emu.after(4500*time.Millisecond, func() { emu.deliver(VMUnregistered{ID: id}) })
+	emu.after(downtime, func() {
+		vm.offline = false
 		emu.boot(vm)
 	})
 }
@@ -459,29 +459,29 @@
 	answer := func(res worker.MachineResult) {
 		emu.after(emulatedLatency, func() {
 			if term == emu.term {
-				emu.tell(MachineAnswered{Machine: eff.Machine, Wave: eff.Wave, Result: res})
+				emu.deliver(MachineAnswered{Machine: eff.Machine, Wave: eff.Wave, Result: res})
 			}
 		})
 	}
 	emu.after(emulatedLatency, func() {
 		vm := emu.vms[eff.Machine]
 		switch {
-		case vm.served[eff.Wave]:
+		case vm.upkeepBegun[eff.Wave]:
 			answer(worker.MachineOK)
 		case !vm.up:
 			answer(worker.MachineBusy)
 		default:
-			vm.served = map[int64]bool{eff.Wave: true}
+			vm.upkeepBegun = map[int64]bool{eff.Wave: true}
 			down := 0
 			for _, oth := range emu.vms {
-				if oth.away {
+				if oth.offline {
 					down++
 				}
 			}
 			if down >= emu.wave.Cap {
 				emu.fail("upkeep of %s begins while %d are down", eff.Machine, down)
 			}
-			emu.end(vm, 4*time.Second)
+			emu.shutDown(vm, 4*time.Second)
 			answer(worker.MachineOK)
 		}
 	})
@@ -496,13 +496,13 @@
 		if vm.up {
 			res = worker.MachineOK
 			if vm.vm.Pool != eff.Pool {
-				emu.end(vm, 1500*time.Millisecond)
+				emu.shutDown(vm, 1500*time.Millisecond)
 				vm.vm.Pool = eff.Pool
 			}
 		}
 		emu.after(emulatedLatency, func() {
 			if term == emu.term {
-				emu.tell(MachineAnswered{Machine: eff.Machine, Result: res})
+				emu.deliver(MachineAnswered{Machine: eff.Machine, Result: res})
 			}
 		})
 	})
@@ -511,20 +511,20 @@
 // find returns the VM of a life that can be reached.
 func (emu *emulator) find(one worker.VM) *emulatedVM {
 	vm := emu.vms[one.Address]
-	if vm == nil || !vm.up || vm.cut {
+	if vm == nil || !vm.up || vm.partitioned {
 		return nil
 	}
 	return vm
 }
 
-// carry carries an order to a VM and its answer back; either may be lost, and
+// call carries an order to a VM and its answer back; either may be lost, and
 // the order may be carried out late.
-func (emu *emulator) carry(one worker.VM, carryOut func(*emulatedVM, int64) worker.Result, answer func(worker.Result) Event) {
+func (emu *emulator) call(one worker.VM, execute func(*emulatedVM, int64) worker.Result, answer func(worker.Result) Event) {
 	term := emu.term
 	back := func(span time.Duration, res worker.Result) {
 		emu.after(span, func() {
 			if term == emu.term {
-				emu.tell(answer(res))
+				emu.deliver(answer(res))
 			}
 		})
 	}
@@ -537,7 +537,7 @@
 		if vm.vm.ID != one.ID {
 			return worker.ResultOtherIncarnation, true
 		}
-		return carryOut(vm, term), true
+		return execute(vm, term), true
 	}
 	if chance < emu.lateOrder {
 		back(time.Second, worker.ResultUnknown)
@@ -571,7 +571,7 @@
 		}
 		vm.lapsed = emu.now
 		for _, name := range vm.sorted() {
-			emu.endOn(vm, name, vm.runs[name], worker.EndLeaseExpired)
+			emu.endRun(vm, name, vm.runs[name], worker.EndLeaseExpired)
 		}
 	})
 }
@@ -584,7 +584,7 @@
 	if run := vm.runs[ord.Task]; run != nil && run.run == ord.Run {
 		return worker.ResultOK
 	}
-	if ord.Run <= vm.tomb[ord.Task] || vm.runs[ord.Task] != nil {
+	if ord.Run <= vm.tombstones[ord.Task] || vm.runs[ord.Task] != nil {
 		return worker.ResultOldRun
 	}
 	if ord.Deadline <= emu.clock(vm) {
@@ -608,7 +608,7 @@
 		return worker.ResultNoTicket
 	}
 	emu.checkStart(vm, ord, spe)
-	run := &emulatedRun{run: ord.Run, since: emu.now, size: ste.Reservation(), owner: spe.Account}
+	run := &emulatedRun{run: ord.Run, since: emu.now, size: ste.Reservation(), account: spe.Account}
 	vm.runs[ord.Task] = run
 	emu.truthOf(ord.Task).running++
 	emu.truthOf(ord.Task).starts = append(emu.truthOf(ord.Task).starts, emu.now)
@@ -628,7 +628,7 @@
 	incomplete := func() bool { return ste.Gang && len(emu.gang(ord.Task, ord.Run, ste.Count)) < ste.Count }
 	emu.after(emulatedGangTimeout, func() {
 		if runs() && incomplete() {
-			emu.endOn(vm, ord.Task, run, worker.EndGangIncomplete)
+			emu.endRun(vm, ord.Task, run, worker.EndGangIncomplete)
 		}
 	})
 	emu.after(emu.duration(ord.Task, ste), func() {
@@ -636,10 +636,10 @@
 			return
 		}
 		kind := worker.EndDone
-		if emu.failing(ord.Task) || vm.fails {
+		if emu.failing(ord.Task) || vm.failsTasks {
 			kind = worker.EndFailed
 		}
-		emu.endOn(vm, ord.Task, run, kind)
+		emu.endRun(vm, ord.Task, run, kind)
 		if ste.Gang {
 			emu.endGangOf(ord.Task, ord.Run, ste.Count, kind)
 		}
@@ -672,7 +672,7 @@
 	for i := range count {
 		name.Index = i
 		if vm := members[name]; vm != nil {
-			emu.endOn(vm, name, vm.runs[name], kind)
+			emu.endRun(vm, name, vm.runs[name], kind)
 		}
 	}
 }
@@ -701,7 +701,7 @@
 		sum := spe.Steps[ord.Task.Step].Size.CPU
 		for _, oth := range emu.vms {
 			for _, run := range oth.runs {
-				if run.owner == spe.Account {
+				if run.account == spe.Account {
 					sum += run.size.CPU
 				}
 			}
@@ -733,10 +733,10 @@
 	}
 }
 
-func (emu *emulator) endOn(vm *emulatedVM, name job.Task, run *emulatedRun, kind worker.EndKind) {
-	emu.endTruth(name, run)
+func (emu *emulator) endRun(vm *emulatedVM, name job.Task, run *emulatedRun, kind worker.EndKind) {
+	emu.recordEnd(name, run)
 	delete(vm.runs, name)
-	vm.tomb[name] = max(vm.tomb[name], run.run)
+	vm.tombstones[name] = max(vm.tombstones[name], run.run)
 	vm.number++
 	vm.endTimes[vm.number] = emu.now
 	vm.ends = append(vm.ends, worker.End{Number: vm.number, Task: name, Run: run.run, Kind: kind})
@@ -758,19 +758,19 @@
 		return worker.ResultFenced
 	}
 	vm.fence = term
-	vm.tomb[ord.Task] = max(vm.tomb[ord.Task], ord.Run)
+	vm.tombstones[ord.Task] = max(vm.tombstones[ord.Task], ord.Run)
 	run := vm.runs[ord.Task]
 	if run != nil && run.run <= ord.Run {
 		emu.after(200*time.Millisecond, func() {
 			if vm.runs[ord.Task] == run {
-				emu.endOn(vm, ord.Task, run, worker.EndStopped)
+				emu.endRun(vm, ord.Task, run, worker.EndStopped)
 			}
 		})
 	}
 	return worker.ResultOK
 }
 
-func (emu *emulator) performLook(eff Poll) {
+func (emu *emulator) performPoll(eff Poll) {
 	sent, term := emu.now, emu.term
 	answered := false
 	answer := func(res worker.Result, rep worker.Report) {
@@ -780,7 +780,7 @@
 		answered = true
 		emu.after(emulatedLatency, func() {
 			if term == emu.term {
-				emu.tell(PollAnswered{VM: eff.VM, Sent: sent, Report: rep, Result: res})
+				emu.deliver(PollAnswered{VM: eff.VM, Sent: sent, Report: rep, Result: res})
 			}
 		})
 	}
@@ -861,7 +861,7 @@
 	answer := func(span time.Duration, rev kv.Revision, err error) {
 		emu.after(span, func() {
 			if term == emu.term {
-				emu.tell(Committed{Revision: rev, Err: err})
+				emu.deliver(Committed{Revision: rev, Err: err})
 			}
 		})
 	}
--- a/internal/core/scheduler/gang_test.go
+++ b/internal/core/scheduler/gang_test.go
@@ -93,18 +93,18 @@
 	assert.Assert(t, longest < 3*time.Second, "a member waited alone for %v", longest)
 	_, ended := emu.finished[spe.ID]
 	assert.Assert(t, ended, "the gang has not run")
-	assert.Equal(t, len(emu.broken), 0, "%s", strings.Join(emu.broken, "\n"))
+	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
-// TestGangOfOneCheckpoint restarts a gang whose members listed different
+// TestGangSharesCheckpoint restarts a gang whose members listed different
 // checkpoints. All members start with the same one.
-func TestGangOfOneCheckpoint(t *testing.T) {
+func TestGangSharesCheckpoint(t *testing.T) {
 	sta := New(testOptions())
 	now := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	sta.opt.Since, sta.opt.Term = now, 1
 	spe := gangJob(1, 2, 500)
 	spe.Accepted = now
-	one := vmNamed("vm-1")
+	one := testVM("vm-1")
 	var starts []Start
 	reduce := func(events ...Event) {
 		now = now.Add(10 * time.Millisecond)
--- a/internal/core/scheduler/overload_test.go
+++ b/internal/core/scheduler/overload_test.go
@@ -61,7 +61,7 @@
 	assert.Assert(t, worthless < worthlessAll)
 	assert.Assert(t, inTime >= inTimeAll)
 	assert.Equal(t, len(emu.finished), len(emu.specs), "accepted jobs are lost")
-	assert.Equal(t, len(emu.broken), 0, "%s", strings.Join(emu.broken, "\n"))
+	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
 // TestAdmit takes what can be served, and refuses what no machine can hold or what
@@ -92,9 +92,9 @@
 	}
 }
 
-// TestNothingIsRefusedAfterATakeover takes over while jobs wait. Until the VMs
+// TestNoRefusalAfterTakeover takes over while jobs wait. Until the VMs
 // have been heard of, what they can carry is not taken for nothing.
-func TestNothingIsRefusedAfterATakeover(t *testing.T) {
+func TestNoRefusalAfterTakeover(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 6, 3, job.Size{CPU: 16_000, Memory: 32_768})
 	emu.takeOver(testOptions())
--- a/internal/core/scheduler/purge_test.go
+++ b/internal/core/scheduler/purge_test.go
@@ -12,10 +12,10 @@
 // ended returns how many records of ended jobs the store holds.
 func (emu *emulator) endedRecords() int { return len(emu.store.sorted(job.EndedPrefix)) }
 
-// TestRecordsOfEndedJobsGo keeps the records of ended jobs as long as callers may
+// TestEndedRecordsPurged keeps the records of ended jobs as long as callers may
 // ask for them, and removes them then, also those of a former dispatcher, though
 // answers of the store are lost.
-func TestRecordsOfEndedJobsGo(t *testing.T) {
+func TestEndedRecordsPurged(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 4, 4, job.Size{CPU: 16_000, Memory: 32_768})
 	opt := testOptions()
@@ -31,5 +31,5 @@
 	assert.Equal(t, emu.endedRecords(), 60)
 	emu.run(4 * time.Minute)
 	assert.Equal(t, emu.endedRecords(), 0)
-	assert.Equal(t, len(emu.broken), 0, "%s", strings.Join(emu.broken, "\n"))
+	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
--- a/internal/core/scheduler/recent_test.go
+++ b/internal/core/scheduler/recent_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRecent keeps entries for a while and not for ever.
-func TestRecent(t *testing.T) {
+// TestRecentMap keeps entries for a while and not for ever.
+func TestRecentMap(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	rec := newRecentMap[int, bool]()
 	for i := range 1000 {
--- a/internal/core/scheduler/schedule_test.go
+++ b/internal/core/scheduler/schedule_test.go
@@ -48,9 +48,9 @@
 	return job.Spec{ID: jobName(n), Queue: "gate", Account: account, Payload: "x", Steps: []job.Step{ste, next}}
 }
 
-// faultyDay plays half a minute of jobs with faults of every kind, and a calm
+// faultScenario plays half a minute of jobs with faults of every kind, and a calm
 // quarter of a minute after it.
-func faultyDay(seed uint64) *emulator {
+func faultScenario(seed uint64) *emulator {
 	emu := newEmulator(seed, testCatalog())
 	emu.catalog.Pools[0].EnforcesCapacity = seed%3 != 0
 	emu.addVMs("lots", 9, 3, job.Size{CPU: 16_000, Memory: 32_768})
@@ -85,11 +85,11 @@
 		case 0:
 			emu.after(at, func() { emu.crash(vm, span) })
 		case 1:
-			emu.after(at, func() { vm.cut = true })
-			emu.after(at+span, func() { vm.cut = false })
+			emu.after(at, func() { vm.partitioned = true })
+			emu.after(at+span, func() { vm.partitioned = false })
 		default:
-			emu.after(at, func() { vm.fails = true })
-			emu.after(at+span, func() { vm.fails = false })
+			emu.after(at, func() { vm.failsTasks = true })
+			emu.after(at+span, func() { vm.failsTasks = false })
 		}
 	}
 	for range 3 {
@@ -98,7 +98,7 @@
 	if seed%2 == 1 {
 		emu.killOnUpkeep = 0.15
 		emu.after(3*time.Second, func() {
-			emu.askWave(upkeep.Wave{Number: 1, Machines: emu.names, Duration: 25 * time.Second, Cap: 3})
+			emu.requestWave(upkeep.Wave{Number: 1, Machines: emu.names, Duration: 25 * time.Second, Cap: 3})
 		})
 	}
 	emu.after(30*time.Second, func() {
@@ -124,33 +124,33 @@
 	}
 }
 
-// TestFaultyDays plays many seeds. No task runs twice at once or after its end
+// TestFaultInjection plays many seeds. No task runs twice at once or after its end
 // was acknowledged, none starts before its step, beyond its account's cap, beyond
 // a VM's room or beyond its attempts,
 // no end is acknowledged before it is stored, jobs end as they truly did, and
 // none is lost.
-func TestFaultyDays(t *testing.T) {
+func TestFaultInjection(t *testing.T) {
 	seeds := uint64(150)
 	if testing.Short() {
 		seeds = 20
 	}
 	for seed := range seeds {
-		emu := faultyDay(seed)
+		emu := faultScenario(seed)
 		for id := range emu.specs {
 			if _, ok := emu.finished[id]; !ok {
 				emu.fail("job %s has not ended", id)
 			}
 		}
-		emu.checkBooks()
-		assert.Equal(t, len(emu.broken), 0, "seed %d: %s", seed, strings.Join(emu.broken, "\n"))
+		emu.checkAccounting()
+		assert.Equal(t, len(emu.violations), 0, "seed %d: %s", seed, strings.Join(emu.violations, "\n"))
 	}
 }
 
-// checkBooks checks that the dispatcher holds what the VMs run, counts it once, and
+// checkAccounting checks that the dispatcher holds what the VMs run, counts it once, and
 // has acknowledged all ends.
-func (emu *emulator) checkBooks() {
+func (emu *emulator) checkAccounting() {
 	usage := map[string]job.Size{}
-	for id := range emu.known {
+	for id := range emu.connected {
 		if emu.sched.hosts[id] == nil {
 			emu.fail("connections to %s are kept, which is gone", id)
 		}
@@ -174,16 +174,16 @@
 			emu.fail("%s is thought to have %v in use, not %v", hos.vm.ID, hos.used, used)
 		}
 	}
-	for owner, size := range emu.sched.usage {
-		if size != usage[owner] {
-			emu.fail("account %s is thought to use %v, not %v", owner, size, usage[owner])
+	for account, size := range emu.sched.usage {
+		if size != usage[account] {
+			emu.fail("account %s is thought to use %v, not %v", account, size, usage[account])
 		}
 	}
 }
 
-// TestSiblingsOnAMachineDueForUpkeep has a step of which one task may be away and
+// TestUpkeepRelocatesSiblings has a step of which one task may be away and
 // two lie on one machine. They leave it one after the other.
-func TestSiblingsOnAMachineDueForUpkeep(t *testing.T) {
+func TestUpkeepRelocatesSiblings(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 2, 2, job.Size{CPU: 16_000, Memory: 32_768})
 	emu.takeOver(testOptions())
@@ -203,13 +203,13 @@
 		})
 	}
 	emu.after(2*time.Second, func() {
-		emu.askWave(upkeep.Wave{Number: 1, Machines: []string{"lots-0"}, Duration: 15 * time.Second, Cap: 1})
+		emu.requestWave(upkeep.Wave{Number: 1, Machines: []string{"lots-0"}, Duration: 15 * time.Second, Cap: 1})
 	})
 	emu.run(20 * time.Second)
-	assert.Equal(t, emu.notes["wave_completed"], 1)
-	assert.Equal(t, emu.notes["task_relocated"], 1)
+	assert.Equal(t, emu.decisions["wave_completed"], 1)
+	assert.Equal(t, emu.decisions["task_relocated"], 1)
 	assert.Equal(t, fewest, 3)
-	assert.Equal(t, len(emu.broken), 0, "%s", strings.Join(emu.broken, "\n"))
+	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
 // TestTakeoverAfterMoves takes the duty over while the registrations of lives
@@ -220,15 +220,15 @@
 	emu.takeOver(testOptions())
 	emu.run(time.Second)
 	gone := emu.vms["lots-0"].vm
-	emu.end(emu.vms["lots-0"], 1500*time.Millisecond)
+	emu.shutDown(emu.vms["lots-0"], 1500*time.Millisecond)
 	emu.down = true
 	emu.submit(fanOut(1, "large", 2, 500, 200*time.Millisecond))
 	emu.run(2 * time.Second)
 	emu.takeOver(testOptions())
-	emu.tell(VMRegistered{VM: gone})
+	emu.deliver(VMRegistered{VM: gone})
 	emu.run(3 * time.Second)
 	assert.Equal(t, len(emu.finished), 1)
-	assert.Equal(t, len(emu.broken), 0, "%s", strings.Join(emu.broken, "\n"))
+	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
 // TestPendingWhileOrdersAreLost counts a job as pending until a VM has started
@@ -268,30 +268,30 @@
 	emu.run(2 * time.Second)
 	assert.Equal(t, emu.pending("gate"), 1)
 	emu.takeOver(testOptions())
-	emu.run(2*time.Second + emulatedLoad/2)
+	emu.run(2*time.Second + emulatedLoadTime/2)
 	assert.Equal(t, emu.pending("gate"), -1)
 	emu.run(3 * time.Second)
 	assert.Equal(t, emu.pending("gate"), 1)
 }
 
-// TestCancelledWhileTheStoreIsSilent cancels a job whose second step is to come,
+// TestCancelWhileWatchIsSilent cancels a job whose second step is to come,
 // while the dispatcher hears nothing of the store and still holds its duty. The
 // step does not start.
-func TestCancelledWhileTheStoreIsSilent(t *testing.T) {
+func TestCancelWhileWatchIsSilent(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 2, 2, job.Size{CPU: 16_000, Memory: 32_768})
 	emu.takeOver(testOptions())
 	emu.run(time.Second)
 	emu.submit(fanOut(1, "large", 2, 500, 3*time.Second))
 	emu.run(1500 * time.Millisecond)
-	emu.blind = true
+	emu.watchSilent = true
 	emu.cancel(jobName(1))
 	emu.run(6 * time.Second)
 	for name := range emu.truth {
 		assert.Equal(t, name.Step, 0, "%s has started", name)
 	}
-	emu.blind = false
-	emu.tell(JobCancelled{ID: jobName(1)})
+	emu.watchSilent = false
+	emu.deliver(JobCancelled{ID: jobName(1)})
 	emu.run(8 * time.Second)
 	assert.Equal(t, len(emu.finished), 1)
 }
--- a/internal/core/scheduler/stale_test.go
+++ b/internal/core/scheduler/stale_test.go
@@ -9,15 +9,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStaleRunOnAVM takes over while two VMs list runs of the same task, of which
+// TestStaleRunOnVM takes over while two VMs list runs of the same task, of which
 // the newer one fails. The task does not start on the VM where the older one is
 // still being stopped, and the books are right once that has ended.
-func TestStaleRunOnAVM(t *testing.T) {
+func TestStaleRunOnVM(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	opt := testOptions()
 	opt.Since, opt.Revision, opt.Term = now, 10, 2
 	sta := New(opt)
-	one, oth := vmNamed("vm-1"), vmNamed("vm-2")
+	one, oth := testVM("vm-1"), testVM("vm-2")
 	spe := fanOut(1, "large", 1, 500, time.Second)
 	spe.Accepted = now
 	name := job.Task{Job: spe.ID}
