--- a/internal/core/scheduler/account_test.go
+++ b/internal/core/scheduler/account_test.go
@@ -9,9 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestAccountOverEntitlement has one client account send ten times what it is entitled to, more
-// than the pool holds. Once its burst is over, jobs of the other account, which
-// keeps to its rate, end in time.
+// TestAccountOverEntitlement checks that an account that submits ten times its
+// entitlement, more than the pool can hold, does not delay another one: once
+// the burst is used up, the jobs of the account that stays within its rate end
+// in time.
 func TestAccountOverEntitlement(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.catalog.Accounts[0].Weight, emu.catalog.Accounts[0].Cap = 6, job.Size{}
@@ -30,7 +31,7 @@
 	submit("large", time.Second, 25*time.Millisecond)
 	emu.run(60 * time.Second)
 	late := map[string]int{}
-	// The objective is 1.6 chains of two tasks and 0.6 s.
+	// The objective is 1.6 times the critical path of two tasks, plus 0.6 s.
 	aim := time.Duration(1.6*float64(time.Second)) + 600*time.Millisecond
 	for id, spe := range emu.specs {
 		if end, ok := emu.finished[id]; !ok || end.Sub(spe.Accepted) > aim {
@@ -38,7 +39,7 @@
 		}
 	}
 	assert.Equal(t, late["small"], 0)
-	assert.Assert(t, late["large"] > 0, "the pool holds all, so that nothing is tested")
+	assert.Assert(t, late["large"] > 0, "the pool is not overloaded, so nothing is tested")
 	assert.Equal(t, len(emu.finished), number)
 	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -9,35 +9,39 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/priority"
 )
 
-// Bounds of questions to the advisor.
+// Limits of queries to the advisor.
 const (
-	// queryInterval is the time between two questions about a step.
+	// queryInterval is the minimum time between two queries about a step.
 	queryInterval = 300 * time.Millisecond
-	// maxQueryVMs is how many VMs a question names. The advisor takes time for
-	// each; the users count a question about 30 towards a job's objective.
+	// maxQueryVMs is the maximum number of VMs in a query. The advisor takes
+	// time for each of them, and the users allow for a query of about 30 VMs in
+	// a job's latency objective.
 	maxQueryVMs = 30
-	// ticketSlack is how much sooner a ticket counts as expired, for the time that
-	// an order is under way.
+	// ticketSlack is how long before its expiry a ticket is no longer used, to
+	// cover the transit time of an order.
 	ticketSlack = 100 * time.Millisecond
 )
 
-// advice is what the advisor said of a stage.
+// advice holds the advisor's answers about a stage.
 type advice struct {
-	// inFlight says that an answer is awaited; askedAt is when it was last asked.
+	// inFlight reports whether a query is unanswered; queriedAt is when the last
+	// one was sent.
 	inFlight  bool
 	queriedAt time.Time
-	// tickets holds, by VM, where the step may run; denied holds the VMs where it
-	// may not, which doesn't change.
+	// tickets holds the permissions to run the step, by VM. denied holds the VMs
+	// on which the step may not run, which does not change.
 	tickets map[string]ticket
 	denied  map[string]bool
 }
 
+// ticket permits the start of a step's tasks on a VM until a given time.
 type ticket struct {
 	token string
 	until time.Time
 }
 
-// ticketFor returns the ticket for a VM, or nothing if there is none that holds.
+// ticketFor returns the token of the valid ticket for a VM, or an empty string
+// without one.
 func (adv *advice) ticketFor(vm string, now time.Time) string {
 	tic, ok := adv.tickets[vm]
 	if !ok || !now.Before(tic.until.Add(-ticketSlack)) {
@@ -46,7 +50,8 @@
 	return tic.token
 }
 
-// adviceFor returns how a queue's steps are advised on; nil if they aren't.
+// adviceFor returns the advice settings of a queue, or nil if its steps need
+// no advice.
 func (sta *State) adviceFor(queue string) *catalog.Advice {
 	if que := sta.catalog.Queue(queue); que != nil {
 		return que.Advice
@@ -54,7 +59,8 @@
 	return nil
 }
 
-// advisorLatency returns how long the advisor takes for a step of a queue.
+// advisorLatency returns the time that the advisor takes for the longest query
+// about a step of a queue; 0 if its steps need no advice.
 func (sta *State) advisorLatency(queue string) time.Duration {
 	adv := sta.adviceFor(queue)
 	if adv == nil {
@@ -63,8 +69,8 @@
 	return adv.Decision + maxQueryVMs*adv.PerVM
 }
 
-// prerequisitesStarted reports whether a stage waits only for tasks that are all running or
-// done, so that it is asked about in time.
+// prerequisitesStarted reports whether all tasks that a stage depends on are
+// running or done. Its advice is then queried in advance.
 func (stg *stage) prerequisitesStarted() bool {
 	occ := stg.liveJob.occs[stg.occ]
 	for _, dep := range stg.step.After {
@@ -75,8 +81,8 @@
 	return true
 }
 
-// enqueueAdvisorQuery notes a stage that needs advice on more VMs. The questions are put
-// in the order of priority, as far as askers are free.
+// enqueueAdvisorQuery queues a query for a stage that needs advice on more
+// VMs. sendAdvisorQueries sends the queries in order of priority.
 func (sta *State) enqueueAdvisorQuery(stg *stage, hosts []*host) {
 	adv := &stg.advice
 	if sta.adviceFor(stg.liveJob.spec.Queue) == nil || adv.inFlight || sta.now.Sub(adv.queriedAt) < queryInterval {
@@ -103,17 +109,18 @@
 	})
 }
 
-// advisorQuery is one that is to be put to the advisor.
+// advisorQuery is a query that has not been sent.
 type advisorQuery struct {
 	priorityKey priority.Key
 	stage       *stage
 	vms         []string
-	// prefetch says that no task of the stage could start yet, for want of room or
-	// because other steps come first.
+	// prefetch reports whether no task of the stage could start yet, for lack of
+	// room or because of unfinished dependencies.
 	prefetch bool
 }
 
-// boolOrder orders true after false.
+// boolOrder compares a value to one that differs from it: true sorts after
+// false.
 func boolOrder(late bool) int {
 	if late {
 		return 1
@@ -121,8 +128,8 @@
 	return -1
 }
 
-// sendAdvisorQueries puts as many of the noted questions as there are free askers. Early ones
-// leave half of the askers to those that are urgent.
+// sendAdvisorQueries sends as many queued queries as there are free slots.
+// Half of the slots are reserved for queries that are not prefetches.
 func (sta *State) sendAdvisorQueries() {
 	slices.SortStableFunc(sta.advisorQueue, func(one, oth advisorQuery) int {
 		if one.prefetch != oth.prefetch {
@@ -143,7 +150,7 @@
 	sta.advisorQueue = nil
 }
 
-// advisorAnswered takes in the advisor's answer.
+// advisorAnswered applies an answer of the advisor.
 func (sta *State) advisorAnswered(evt AdvisorAnswered) {
 	sta.advisorInFlight--
 	stg := sta.stageOf(job.Task{Job: evt.Job, Occurrence: evt.Occurrence, Step: evt.Step})
@@ -160,7 +167,8 @@
 	}
 	for _, vm := range evt.VMs {
 		if token, ok := evt.Tickets[vm]; ok {
-			// The ticket is as old as the question at most.
+			// A ticket's validity is counted from the sending of the query, which is
+			// no later than its issue.
 			adv.tickets[vm] = ticket{token: token, until: evt.Sent.Add(evt.Valid)}
 		} else {
 			adv.denied[vm] = true
--- a/internal/core/scheduler/advice_test.go
+++ b/internal/core/scheduler/advice_test.go
@@ -13,14 +13,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// emulatedAdvisor lets each step run on a third of the VMs. Each asker waits its
-// turn, as each calling machine does at the platform's advisor.
+// emulatedAdvisor allows each step on a third of the VMs. It processes one
+// query at a time per slot, as the platform's advisor does per calling
+// machine.
 type emulatedAdvisor struct {
 	advice  catalog.Advice
 	slots   int
 	busy    int
 	tickets map[string]time.Time
-	// rejected counts starts without a valid ticket, queries the questions.
+	// rejected counts starts without a valid ticket; queries counts the queries.
 	rejected, queries int
 }
 
@@ -34,7 +35,7 @@
 	adv.queries++
 	adv.busy++
 	if adv.busy > adv.slots {
-		emu.fail("%d questions at once for %d askers", adv.busy, adv.slots)
+		emu.fail("%d concurrent queries with %d slots", adv.busy, adv.slots)
 	}
 	sent, term := emu.now, emu.term
 	emu.after(adv.advice.Decision+time.Duration(len(eff.VMs))*adv.advice.PerVM, func() {
@@ -57,7 +58,8 @@
 	})
 }
 
-// advisedScenario plays jobs that come faster than one asker could ask about them.
+// advisedScenario submits jobs faster than a single slot could handle their
+// queries.
 func advisedScenario(slots int) *emulator {
 	emu := newEmulator(1, testCatalog())
 	emu.advisor = &emulatedAdvisor{
@@ -73,14 +75,15 @@
 	return emu
 }
 
-// TestConcurrentAdvisorQueries has 10 jobs of two steps a second, of which each step
-// needs a question of 0.3 s. Nine askers keep up with them.
+// TestConcurrentAdvisorQueries checks that nine slots keep up with 10 jobs a
+// second of two steps each, every one of which needs a query of 0.3 s.
 func TestConcurrentAdvisorQueries(t *testing.T) {
 	emu := advisedScenario(9)
 	emu.run(20 * time.Second)
 	late := 0
 	for id, spe := range emu.specs {
-		// The objective is 1.6 chains, each step with one question, and 0.6 s.
+		// The objective is 1.6 times the critical path, with one query per step,
+		// plus 0.6 s.
 		aim := time.Duration(1.6*float64(2*(500+360)*time.Millisecond)) + 600*time.Millisecond
 		end, ok := emu.finished[id]
 		if !ok || end.Sub(spe.Accepted) > aim {
@@ -92,8 +95,8 @@
 	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
-// TestAdviceRenewedAfterExpiry has tickets expire while tasks still wait for room.
-// The dispatcher asks again, and all jobs end.
+// TestAdviceRenewedAfterExpiry checks that the dispatcher queries again when
+// tickets expire while tasks still wait for room.
 func TestAdviceRenewedAfterExpiry(t *testing.T) {
 	emu := advisedScenario(9)
 	emu.advisor.advice.Valid = 700 * time.Millisecond
@@ -103,7 +106,8 @@
 	assert.Equal(t, emu.advisor.rejected, 0, "starts without a ticket")
 }
 
-// TestAdviceAcrossTakeover ends the dispatcher with questions under way.
+// TestAdviceAcrossTakeover checks that all jobs end when the dispatcher is
+// killed while queries are in flight.
 func TestAdviceAcrossTakeover(t *testing.T) {
 	emu := advisedScenario(3)
 	emu.after(5*time.Second, emu.killDispatcher)
--- a/internal/core/scheduler/assign.go
+++ b/internal/core/scheduler/assign.go
@@ -14,12 +14,12 @@
 	priorityKey priority.Key
 }
 
-// maxJobStaleness bounds how old the view of jobs may be to start tasks by it: a job may
-// have been cancelled since. A watch that went silent is noticed and replaced in
-// less.
+// maxJobStaleness is the maximum age of the known state of jobs at which tasks
+// may start, as a job may have been cancelled since. A silent watch is
+// detected and replaced in less time.
 const maxJobStaleness = 1500 * time.Millisecond
 
-// assign starts tasks where there is room, in the order of priority.
+// assign starts waiting tasks where there is room, in order of priority.
 func (sta *State) assign() {
 	if sta.now.Sub(sta.jobsSyncedAt) > maxJobStaleness {
 		return
@@ -62,8 +62,8 @@
 	sta.sendAdvisorQueries()
 }
 
-// poolOf returns the pool that runs a job's tasks. It outlasts the removal of
-// the job's queue.
+// poolOf returns the pool that runs a job's tasks, also after the job's queue
+// has been removed.
 func (sta *State) poolOf(liv *liveJob) string {
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
 		liv.pool = que.Pool
@@ -71,6 +71,7 @@
 	return liv.pool
 }
 
+// priorityKey returns the key that orders a stage by priority.
 func (sta *State) priorityKey(stg *stage) priority.Key {
 	liv := stg.liveJob
 	occ := liv.occs[stg.occ]
@@ -90,12 +91,13 @@
 	return priorityKey
 }
 
-// remainingWork returns the core-seconds that a stage has yet to do, by its estimates
-// times a factor.
+// remainingWork returns the estimated core-seconds of the tasks that are not
+// done, scaled by a factor.
 func (stg *stage) remainingWork(factor float64) float64 {
 	return stg.step.Size.Cores() * float64(stg.left) * stg.step.Estimate.Seconds() * factor
 }
 
+// usableHosts returns the hosts of a pool on which new tasks may start.
 func (sta *State) usableHosts(pool string) (hosts []*host) {
 	for _, hos := range sta.pools[pool] {
 		if hos.usable(sta.now) && !sta.zonesOut[hos.vm.AZ] {
@@ -117,7 +119,8 @@
 	}
 }
 
-// placeEach starts those waiting tasks of a stage that fit.
+// placeEach starts the waiting tasks of a stage one by one, as long as they
+// fit.
 func (sta *State) placeEach(stg *stage, hosts []*host) {
 	for i := range stg.tasks {
 		tas := &stg.tasks[i]
@@ -135,7 +138,8 @@
 	}
 }
 
-// withinCap reports whether a client account may run n more tasks of a stage.
+// withinCap reports whether n more tasks of a stage fit under the cap of its
+// account.
 func (sta *State) withinCap(stg *stage, n int) bool {
 	acc := sta.catalog.Account(stg.liveJob.spec.Account)
 	if acc == nil {
@@ -161,13 +165,14 @@
 	})
 }
 
-// chooseHost returns the VM where a task of a stage runs best beside those of a
-// trial, or nil.
+// chooseHost returns the best host for a task of a stage, beside the tasks of
+// a trial placement, or nil if there is none.
 func (sta *State) chooseHost(stg *stage, index int, hosts []*host, tri trial) (best *host) {
 	var bestScore score
 	name := stg.task(index)
 	for _, hos := range hosts {
-		// A former run that is being stopped there would be taken for the new one.
+		// A former run that is being stopped there would be mistaken for the new
+		// one.
 		if hos.runs[name] != nil || !sta.canRun(stg, hos, tri[hos]) {
 			continue
 		}
@@ -179,8 +184,8 @@
 	return best
 }
 
-// canRun reports whether a task of a stage may run on a VM beside a number of
-// others of the stage that are to start there.
+// canRun reports whether a task of a stage may run on a host beside a number
+// of other planned tasks of the stage.
 func (sta *State) canRun(stg *stage, hos *host, planned int) bool {
 	ste := stg.step
 	if !ste.Reservation().Times(planned + 1).Fits(hos.vm.Capacity.Minus(hos.used)) {
@@ -198,7 +203,7 @@
 	return true
 }
 
-// countTasks returns how many tasks of a stage a VM holds.
+// countTasks returns the number of a stage's tasks on the host.
 func (hos *host) countTasks(stg *stage) int {
 	n := 0
 	for _, pla := range hos.runList {
@@ -209,19 +214,22 @@
 	return n
 }
 
-// score says how well a task runs on a VM; lower fields only break ties.
+// score rates a host for a task. Each field breaks ties of the ones before it.
 type score struct {
-	// remote says that the task's data lies on another rack.
+	// remote reports whether the task's data is on another rack.
 	remote bool
-	// siblings is how many tasks of the step the VM holds, for steps that last.
+	// siblings is the number of the step's tasks on the host, for long-running
+	// steps.
 	siblings int
-	// interfering is how many tasks there disturb the task or are interfering by it.
+	// interfering is the number of tasks on the host that would slow down the
+	// task or be slowed down by it.
 	interfering int
-	// free is the share of the VM that stays free. Tasks are packed, so that
-	// other VMs become empty and can be moved.
+	// free is the share of the host's processors that stays free. Tasks are
+	// packed, so that other hosts become empty and can be moved.
 	free float64
 }
 
+// better compares the fields of two scores in order.
 func (sco score) better(oth score) bool {
 	switch {
 	case sco.remote != oth.remote:
@@ -235,6 +243,7 @@
 	}
 }
 
+// score rates a host for a task of a stage beside a number of planned ones.
 func (sta *State) score(stg *stage, hos *host, planned int) score {
 	ste := stg.step
 	sco := score{remote: ste.DataRack != "" && !hos.vm.HasLabel(ste.DataRack)}
--- a/internal/core/scheduler/attempts_test.go
+++ b/internal/core/scheduler/attempts_test.go
@@ -9,19 +9,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// testVM is a VM of the test's pool.
+// testVM returns a VM of the test's pool.
 func testVM(name string) worker.VM {
 	return worker.VM{ID: name, Born: 1, Pool: "lots", Address: name, AZ: "az0", Capacity: job.Size{CPU: 16_000, Memory: 32_768}}
 }
 
-// reportedEnd is a VM's answer to a look that lists one end.
+// reportedEnd returns a VM's answer to a poll with one end.
 func reportedEnd(vm worker.VM, sent time.Time, end worker.End) PollAnswered {
 	return PollAnswered{VM: vm, Sent: sent, Report: worker.Report{Born: vm.Born, Clock: time.Second, Ends: []worker.End{end}}}
 }
 
-// TestFailuresReportedOutOfOrder takes over from a dispatcher that saw two runs of a
-// task fail and stored neither. The VM with the later run answers first. Both
-// runs count, so that the task is not started beyond its attempts.
+// TestFailuresReportedOutOfOrder checks that a task does not start beyond its
+// attempts. A former dispatcher saw two of its runs fail and stored neither;
+// after the takeover the VM with the later run reports first. Both runs must
+// count.
 func TestFailuresReportedOutOfOrder(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	opt := testOptions()
--- a/internal/core/scheduler/effect.go
+++ b/internal/core/scheduler/effect.go
@@ -8,17 +8,18 @@
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 )
 
-// Effect is something to be done.
+// Effect is an action that State.Reduce requests from its caller.
 type Effect interface{ effect() }
 
-// Poll asks a VM what it runs, and extends the lease of all that runs there.
+// Poll requests a report from a VM, acknowledges ends and extends the lease of
+// all runs there.
 type Poll struct {
 	VM worker.VM
-	// Acked is the highest number of an end that is stored.
+	// Acked is the number up to which all ends are acknowledged.
 	Acked int64
-	// Deadline is on the VM's clock; 0 extends nothing.
+	// Deadline is the new end of the lease on the VM's clock; 0 extends nothing.
 	Deadline time.Duration
-	// Wait is how long the VM may wait for an end.
+	// Wait is how long the VM may wait for an end before it answers.
 	Wait time.Duration
 }
 
@@ -28,20 +29,21 @@
 	Task    job.Task
 	Run     int
 	Payload string
-	// Deadline is on the VM's clock.
+	// Deadline is the end of the lease on the VM's clock.
 	Deadline   time.Duration
 	Checkpoint string
 	Ticket     string
 }
 
-// Stop orders a VM to stop a run, or to reject it should it still come.
+// Stop orders a VM to stop a run, and to reject the run if its start arrives
+// later.
 type Stop struct {
 	VM   worker.VM
 	Task job.Task
 	Run  int
 }
 
-// Pace orders a VM to let a task work at a share of its speed.
+// Pace orders a VM to run a task at a percentage of full speed.
 type Pace struct {
 	VM      worker.VM
 	Task    job.Task
@@ -49,30 +51,30 @@
 	Percent int
 }
 
-// Commit writes to the store. The runner adds the condition that this process
+// Commit writes to the store. The caller adds the condition that this process
 // still holds the duty.
 type Commit struct{ Txn kv.Txn }
 
-// QueryAdvisor asks which VMs may run a step.
+// QueryAdvisor asks the advisor which VMs may run a step.
 type QueryAdvisor struct {
 	Job        job.ID
 	Occurrence int
 	Step       int
 	VMs        []string
-	// Latency is how long the advisor takes.
+	// Latency is the expected time that the advisor takes.
 	Latency time.Duration
 }
 
-// ListMachines asks for the list of machines.
+// ListMachines requests the list of machines.
 type ListMachines struct{}
 
-// Upkeep begins a machine's upkeep.
+// Upkeep begins the upkeep of a machine.
 type Upkeep struct {
 	Machine string
 	Wave    int64
 }
 
-// SaveWave stores how a wave goes.
+// SaveWave stores the progress of a wave.
 type SaveWave struct {
 	Number    int64
 	Begun     []string
@@ -85,16 +87,16 @@
 	Pool    string
 }
 
-// Forget says that a life of a VM has ended: no calls are made to it any more.
+// Forget closes the connections to a VM that has ended.
 type Forget struct{ VM worker.VM }
 
-// StepDown ends the duty: another dispatcher has taken it.
+// StepDown ends the tenure, as another process has taken the duty.
 type StepDown struct{ Reason string }
 
-// LogDecision is a decision for the log.
+// LogDecision writes a decision to the log.
 type LogDecision struct {
 	Name string
-	// Job is empty if the decision concerns none.
+	// Job is empty if the decision does not concern a job.
 	Job    job.ID
 	Fields map[string]any
 }
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -16,9 +16,9 @@
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 )
 
-// emulator plays a fleet, a store and a sequence of dispatchers on a virtual
-// clock. All chance comes from its seed. It checks what must always hold, from
-// what the VMs run and what the store holds.
+// emulator simulates a fleet, a store and a sequence of dispatchers on a
+// virtual clock. All randomness comes from its seed. It checks the scheduler's
+// invariants against what the VMs run and what the store holds.
 type emulator struct {
 	rng   *rand.Rand
 	now   time.Time
@@ -38,18 +38,19 @@
 	down    bool
 	waiting bool
 
-	// faults
+	// Fault probabilities.
 	loseAnswer, loseOrder, lateOrder float64
 	loseCommit, lateCommit           float64
-	// watchSilent says that changes of jobs do not reach the dispatcher.
+	// watchSilent suppresses changes of jobs to the dispatcher.
 	watchSilent bool
-	// killOnUpkeep is how often the dispatcher is killed as it orders upkeep.
+	// killOnUpkeep is the probability that the dispatcher is killed as it orders
+	// upkeep.
 	killOnUpkeep float64
 
-	// advisor answers questions about steps; nil if there is none.
+	// advisor answers queries about steps; nil if there is none.
 	advisor *emulatedAdvisor
 
-	// wave is the one that was asked for, with what is stored of it.
+	// wave is the requested wave, and begun its stored progress.
 	wave  *upkeep.Wave
 	begun []string
 
@@ -59,30 +60,33 @@
 	// finished holds when each job was stored as ended.
 	finished map[job.ID]time.Time
 	specs    map[job.ID]job.Spec
-	// connected holds the lives to which connections are kept.
+	// connected holds the IDs of the VMs to which connections are open.
 	connected map[string]bool
-	// duration gives a task's true run time; failing says that it always fails.
+	// duration returns a task's actual run time; failing reports whether its
+	// runs fail.
 	duration func(tas job.Task, ste job.Step) time.Duration
 	failing  func(tas job.Task) bool
 }
 
-// taskTruth is what the VMs have done of a task.
+// taskTruth is the actual state of a task on the VMs.
 type taskTruth struct {
 	running   int
 	done      bool
 	acked     bool
 	failedEnd int
-	// starts holds when its runs started; failedAcked holds when those runs ended
-	// that failed and whose ends were acknowledged within the lease.
+	// starts holds when the task's runs started. failedAcked holds when runs
+	// failed whose ends were acknowledged within the lease.
 	starts, failedAcked []time.Time
 }
 
+// timer calls a function at a time; order breaks ties.
 type timer struct {
 	at    time.Time
 	order int
 	fire  func()
 }
 
+// timers is a heap of timers.
 type timers []timer
 
 func (tms timers) Len() int { return len(tms) }
@@ -101,7 +105,7 @@
 	return last
 }
 
-// emulatedVM is one machine with its present life.
+// emulatedVM is a machine with its current VM.
 type emulatedVM struct {
 	vm          worker.VM
 	up          bool
@@ -110,8 +114,8 @@
 	fence       int64
 	runs        map[job.Task]*emulatedRun
 	ends        []worker.End
-	// endTimes holds when each end of this life happened, by its number; lapsed is
-	// when the lease last ended.
+	// endTimes holds the time of each end of this VM by its number; lapsed is
+	// when the lease last expired.
 	endTimes     map[int64]time.Time
 	lapsed       time.Time
 	number       int64
@@ -120,13 +124,13 @@
 	incarnations int
 	waiter       func()
 	failsTasks   bool
-	// offline says that the machine is down for upkeep or moves; served holds the
-	// waves whose upkeep has begun.
+	// offline reports whether the machine is down for upkeep or moving.
+	// upkeepBegun holds the waves in which its upkeep has begun.
 	offline     bool
 	upkeepBegun map[int64]bool
 }
 
-// sorted returns the tasks that run, in the order of their names.
+// sorted returns the active tasks in the order of their names.
 func (vm *emulatedVM) sorted() []job.Task {
 	return slices.SortedFunc(maps.Keys(vm.runs), func(one, oth job.Task) int { return strings.Compare(one.String(), oth.String()) })
 }
@@ -160,12 +164,13 @@
 	}
 }
 
+// after calls a function after a time.
 func (emu *emulator) after(span time.Duration, fire func()) {
 	emu.order++
 	heap.Push(&emu.queue, timer{emu.now.Add(span), emu.order, fire})
 }
 
-// run plays until a time after the start.
+// run advances the clock to a time after the start.
 func (emu *emulator) run(until time.Duration) {
 	end := emu.start.Add(until)
 	for emu.queue.Len() > 0 && !emu.queue[0].at.After(end) {
@@ -176,11 +181,12 @@
 	emu.now = end
 }
 
+// fail records a violated invariant.
 func (emu *emulator) fail(format string, args ...any) {
 	emu.violations = append(emu.violations, fmt.Sprintf("%6d ms: ", emu.now.Sub(emu.start).Milliseconds())+fmt.Sprintf(format, args...))
 }
 
-// addVMs adds VMs to a pool, some to a rack.
+// addVMs adds VMs to a pool, with a number of them on each rack.
 func (emu *emulator) addVMs(pool string, count, rack int, size job.Size) {
 	for i := range count {
 		name := fmt.Sprintf("%s-%d", pool, i)
@@ -194,7 +200,7 @@
 	}
 }
 
-// boot begins a new life.
+// boot starts a new VM on a machine.
 func (emu *emulator) boot(vm *emulatedVM) {
 	vm.incarnations++
 	vm.up = true
@@ -208,7 +214,8 @@
 	emu.after(emulatedLatency, func() { emu.deliver(VMRegistered{VM: one}) })
 }
 
-// crash ends a life. Its registration goes after a while.
+// crash ends a VM, which boots again after a time. Its registration expires
+// after 4.5 s.
 func (emu *emulator) crash(vm *emulatedVM, downtime time.Duration) {
 	if !vm.up {
 		return
@@ -239,12 +246,12 @@
 	return tru
 }
 
-// clock is a VM's steady clock; it may be 2% slow.
+// clock returns a VM's monotonic clock, which is 2% slow.
 func (emu *emulator) clock(vm *emulatedVM) time.Duration {
 	return time.Duration(float64(emu.now.Sub(vm.born)) * 0.98)
 }
 
-// deliver brings an event to the dispatcher, if there is one.
+// deliver queues an event for the dispatcher, if there is one.
 func (emu *emulator) deliver(evt Event) {
 	if emu.sched == nil || emu.down {
 		return
@@ -280,7 +287,8 @@
 	emu.wake(40 * time.Millisecond)
 }
 
-// takeOver begins the term of a new dispatcher, which loads what is stored.
+// takeOver starts the tenure of a new dispatcher, which loads the stored
+// state.
 func (emu *emulator) takeOver(opt Options) {
 	emu.term++
 	emu.store.rev++
@@ -298,7 +306,7 @@
 			emu.deliver(VMRegistered{VM: vm.vm})
 		}
 	}
-	// The store takes its time to tell the jobs; VMs may answer before.
+	// Loading the jobs takes time; VMs may report before.
 	term := emu.term
 	emu.after(emulatedLoadTime, func() {
 		if term == emu.term {
@@ -307,9 +315,10 @@
 	})
 }
 
-// emulatedLoadTime is how long the jobs take to load.
+// emulatedLoadTime is the time that loading the jobs takes.
 const emulatedLoadTime = 30 * time.Millisecond
 
+// deliverJobs delivers the stored state to a new dispatcher.
 func (emu *emulator) deliverJobs() {
 	for _, itm := range emu.store.sorted(job.LivePrefix) {
 		id, cancelled := job.ParseLiveKey(itm.Key)
@@ -340,8 +349,8 @@
 	emu.deliver(ended)
 }
 
-// killDispatcher ends the dispatcher; another one takes over when the lease
-// has ended.
+// killDispatcher ends the dispatcher. Another one takes over when its lease
+// has expired.
 func (emu *emulator) killDispatcher() {
 	if emu.down || emu.sched == nil {
 		return
@@ -351,7 +360,7 @@
 	emu.after(emulatedTTL, func() { emu.takeOver(opt) })
 }
 
-// submit stores a job and tells the dispatcher.
+// submit stores a job and delivers it to the dispatcher.
 func (emu *emulator) submit(spe job.Spec) {
 	spe.Accepted = emu.now
 	raw, err := job.Marshal(spe)
@@ -363,7 +372,7 @@
 	emu.after(emulatedLatency, func() { emu.deliver(JobAccepted{Spec: spe, Revision: rev}) })
 }
 
-// cancel stores that a job is cancelled, unless it has ended.
+// cancel stores the cancellation of a job, unless the job has ended.
 func (emu *emulator) cancel(id job.ID) {
 	if _, live := emu.store.items[job.LiveKey(id)]; !live {
 		return
@@ -392,8 +401,8 @@
 	case QueryAdvisor:
 		emu.performQueryAdvisor(eff)
 	case ListMachines:
-		asked := emu.now
-		emu.after(emulatedLatency, func() { emu.deliver(MachinesListed{RequestedAt: asked, Machines: emu.machines()}) })
+		requestedAt := emu.now
+		emu.after(emulatedLatency, func() { emu.deliver(MachinesListed{RequestedAt: requestedAt, Machines: emu.machines()}) })
 	case Upkeep:
 		emu.performUpkeep(eff)
 	case Move:
@@ -429,13 +438,13 @@
 	return all
 }
 
-// requestWave asks for the upkeep of all VMs.
+// requestWave requests a wave of upkeep.
 func (emu *emulator) requestWave(wav upkeep.Wave) {
 	emu.wave = &wav
 	emu.deliver(WaveRequested{Wave: wav})
 }
 
-// shutDown ends a life without a trace, as an order for its machine does.
+// shutDown ends a VM without reporting any ends, as a machine order does.
 func (emu *emulator) shutDown(vm *emulatedVM, downtime time.Duration) {
 	vm.up, vm.offline = false, true
 	for name, run := range vm.runs {
@@ -450,7 +459,8 @@
 	})
 }
 
-// performUpkeep begins a machine's upkeep, unless it has begun before.
+// performUpkeep begins a machine's upkeep, unless it has begun before in the
+// same wave.
 func (emu *emulator) performUpkeep(eff Upkeep) {
 	if emu.rng.Float64() < emu.killOnUpkeep {
 		emu.after(time.Millisecond, emu.killDispatcher)
@@ -487,7 +497,7 @@
 	})
 }
 
-// performMove moves a machine.
+// performMove moves a machine to another pool.
 func (emu *emulator) performMove(eff Move) {
 	term := emu.term
 	emu.after(emulatedLatency, func() {
@@ -508,7 +518,7 @@
 	})
 }
 
-// find returns the VM of a life that can be reached.
+// find returns the machine at a VM's address if it can be reached.
 func (emu *emulator) find(one worker.VM) *emulatedVM {
 	vm := emu.vms[one.Address]
 	if vm == nil || !vm.up || vm.partitioned {
@@ -517,11 +527,11 @@
 	return vm
 }
 
-// call carries an order to a VM and its answer back; either may be lost, and
-// the order may be carried out late.
+// call sends an order to a VM and its answer back. Either may be lost, and the
+// order may be carried out late.
 func (emu *emulator) call(one worker.VM, execute func(*emulatedVM, int64) worker.Result, answer func(worker.Result) Event) {
 	term := emu.term
-	back := func(span time.Duration, res worker.Result) {
+	reply := func(span time.Duration, res worker.Result) {
 		emu.after(span, func() {
 			if term == emu.term {
 				emu.deliver(answer(res))
@@ -540,24 +550,25 @@
 		return execute(vm, term), true
 	}
 	if chance < emu.lateOrder {
-		back(time.Second, worker.ResultUnknown)
+		reply(time.Second, worker.ResultUnknown)
 		emu.after(2*time.Second+time.Duration(emu.rng.Int64N(int64(10*time.Second))), func() { arrive() })
 		return
 	}
 	emu.after(emulatedLatency, func() {
 		if chance < emu.lateOrder+emu.loseOrder {
-			back(time.Second, worker.ResultUnknown)
+			reply(time.Second, worker.ResultUnknown)
 			return
 		}
 		res, ok := arrive()
 		if !ok || chance < emu.lateOrder+emu.loseOrder+emu.loseAnswer {
-			back(time.Second, worker.ResultUnknown)
+			reply(time.Second, worker.ResultUnknown)
 			return
 		}
-		back(emulatedLatency, res)
+		reply(emulatedLatency, res)
 	})
 }
 
+// extend extends a VM's lease and ends its runs when the lease expires.
 func (emu *emulator) extend(vm *emulatedVM, deadline time.Duration) {
 	if deadline <= vm.deadline {
 		return
@@ -601,7 +612,7 @@
 		if emu.catalog.Pools[0].EnforcesCapacity {
 			return worker.ResultNoRoom
 		}
-		emu.fail("%s run %d brings %s over its capacity", ord.Task, ord.Run, vm.vm.ID)
+		emu.fail("%s run %d exceeds the capacity of %s", ord.Task, ord.Run, vm.vm.ID)
 	}
 	if emu.advisor != nil && !emu.advisor.allows(emu.now, ord) {
 		emu.advisor.rejected++
@@ -620,8 +631,8 @@
 	return worker.ResultOK
 }
 
-// work ends a run when its task has been worked on. A gang works only while all
-// members run; the last one to come ends it.
+// work ends a run after the task's run time. A gang works only while all
+// members run, and ends with the member that started last.
 func (emu *emulator) work(vm *emulatedVM, ord Start, ste job.Step, run *emulatedRun) {
 	id := vm.vm.ID
 	runs := func() bool { return vm.vm.ID == id && vm.runs[ord.Task] == run }
@@ -649,7 +660,7 @@
 // emulatedGangTimeout is how long a member of a gang waits for the others.
 const emulatedGangTimeout = 3 * time.Second
 
-// gang returns the VMs of the members of a gang that run, by member.
+// gang returns the VMs of the active members of a gang, by member.
 func (emu *emulator) gang(name job.Task, run, count int) map[job.Task]*emulatedVM {
 	members := map[job.Task]*emulatedVM{}
 	for i := range count {
@@ -663,7 +674,7 @@
 	return members
 }
 
-// endGangOf ends the other members of a gang of which one has ended.
+// endGangOf ends the other members of a gang after the end of one.
 func (emu *emulator) endGangOf(name job.Task, run, count int, kind worker.EndKind) {
 	if kind != worker.EndDone {
 		kind = worker.EndGangBroken
@@ -677,7 +688,7 @@
 	}
 }
 
-// checkStart checks what must hold when a task starts.
+// checkStart checks the invariants of the start of a task.
 func (emu *emulator) checkStart(vm *emulatedVM, ord Start, spe job.Spec) {
 	tru := emu.truthOf(ord.Task)
 	if tru.running > 0 {
@@ -707,13 +718,13 @@
 			}
 		}
 		if sum > acc.Cap.CPU {
-			emu.fail("%s brings account %s to %d of %d", ord.Task, spe.Account, sum, acc.Cap.CPU)
+			emu.fail("%s raises the usage of account %s to %d, above its cap of %d", ord.Task, spe.Account, sum, acc.Cap.CPU)
 		}
 	}
 }
 
-// checkAttempts checks that no run of a task started after as many acknowledged
-// failures as its queue allows.
+// checkAttempts checks that no run of a task started after as many
+// acknowledged failures as its queue allows attempts.
 func (emu *emulator) checkAttempts(name job.Task) {
 	spe := emu.specs[name.Job]
 	if spe.Steps[name.Step].LongRunning {
@@ -904,7 +915,8 @@
 	return rev, nil
 }
 
-// checkEnded checks a job that is stored as ended.
+// checkEnded checks the record of an ended job against the actual state of its
+// tasks.
 func (emu *emulator) checkEnded(id job.ID, raw []byte) {
 	emu.finished[id] = emu.now
 	out, err := job.Unmarshal[job.Outcome](raw)
@@ -950,7 +962,7 @@
 	return items
 }
 
-// knowsDone reports whether the store holds that a task is done.
+// knowsDone reports whether the store records a task as done.
 func (sto *emulatedStore) knowsDone(tas job.Task) bool {
 	if _, ok := sto.items[job.EndedKey(tas.Job)]; ok {
 		return true
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -10,46 +10,46 @@
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 )
 
-// Event is something that happened.
+// Event is an input of State.Reduce.
 type Event interface{ event() }
 
-// Tick lets time pass.
+// Tick lets time pass without any other input.
 type Tick struct{}
 
-// CatalogChanged brings a newer configuration.
+// CatalogChanged carries a newer configuration.
 type CatalogChanged struct{ Catalog catalog.Catalog }
 
-// ZonesChanged brings the availability zones that are out.
+// ZonesChanged carries the availability zones that are out of service.
 type ZonesChanged struct{ Out map[string]bool }
 
-// JobAccepted brings a job that is stored.
+// JobAccepted carries a stored job.
 type JobAccepted struct {
 	Spec job.Spec
-	// Revision is the one at which it was stored.
+	// Revision is the revision at which the job was stored.
 	Revision kv.Revision
-	// Progress and ProgressRevision are what a former dispatcher stored;
-	// revision 0 means nothing.
+	// Progress and ProgressRevision are the record that a former dispatcher
+	// stored; revision 0 means that there is none.
 	Progress         job.Progress
 	ProgressRevision kv.Revision
 }
 
-// JobCancelled says that a job's cancelling is stored.
+// JobCancelled reports that the cancellation of a job is stored.
 type JobCancelled struct{ ID job.ID }
 
-// VMRegistered brings a VM's registration or a change of it.
+// VMRegistered carries a new or changed registration of a VM.
 type VMRegistered struct{ VM worker.VM }
 
-// VMUnregistered says that a VM's registration is gone.
+// VMUnregistered reports that the registration of a VM is gone.
 type VMUnregistered struct{ ID string }
 
-// MachinesListed brings the list of machines.
+// MachinesListed answers ListMachines. Machines is nil if the request failed.
 type MachinesListed struct {
-	// RequestedAt is when the list was asked for.
+	// RequestedAt is when the list was requested.
 	RequestedAt time.Time
 	Machines    []worker.Machine
 }
 
-// PollAnswered answers a Look.
+// PollAnswered answers a Poll.
 type PollAnswered struct {
 	VM     worker.VM
 	Sent   time.Time
@@ -81,35 +81,36 @@
 	Result  worker.Result
 }
 
-// Committed answers a Commit. The revision is valid unless there is an error.
+// Committed answers a Commit. Revision is valid if Err is nil.
 type Committed struct {
 	Revision kv.Revision
 	Err      error
 }
 
-// AdvisorAnswered answers an Advise. Tickets is nil if no advice came.
+// AdvisorAnswered answers a QueryAdvisor. Tickets is nil if the query failed.
 type AdvisorAnswered struct {
 	Job        job.ID
 	Occurrence int
 	Step       int
 	Sent       time.Time
-	// VMs are those that were asked about.
+	// VMs lists the VMs that the query named.
 	VMs     []string
 	Tickets map[string]string
 	Valid   time.Duration
 }
 
-// AdvisorSlotsChanged says how many questions may be put to the advisor at once.
+// AdvisorSlotsChanged carries the maximum number of concurrent queries to the
+// advisor.
 type AdvisorSlotsChanged struct{ Count int }
 
-// WaveRequested brings a wave of upkeep, with the machines whose upkeep a former
-// dispatcher began.
+// WaveRequested carries a wave of upkeep, with the machines whose upkeep a
+// former dispatcher began.
 type WaveRequested struct {
 	Wave  upkeep.Wave
 	Begun []string
 }
 
-// WaveWithdrawn says that a wave is no longer asked for.
+// WaveWithdrawn reports that the operator has withdrawn a wave.
 type WaveWithdrawn struct{ Number int64 }
 
 // MachineAnswered answers an Upkeep or a Move.
@@ -120,14 +121,15 @@
 	Result worker.MachineResult
 }
 
-// EndedJobsListed brings the jobs that are stored as ended.
+// EndedJobsListed carries the jobs that former dispatchers stored as ended.
 type EndedJobsListed struct{ Jobs []EndedJob }
 
-// JobWatchProgressed says that all changes of jobs up to a time have been brought.
+// JobWatchProgressed reports that all changes of jobs up to a time have been
+// received.
 type JobWatchProgressed struct{ At time.Time }
 
-// Loaded says that all jobs, VMs and waves that were stored when the duty was
-// taken have been brought.
+// Loaded reports that all jobs that were stored at the start of the tenure
+// have been received.
 type Loaded struct{}
 
 func (Tick) event()                {}
--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -8,55 +8,59 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/worker"
 )
 
-// Times and shares of the plan of moves.
+// Parameters of the planning of moves.
 const (
 	// movePlanInterval is the time between two plans.
 	movePlanInterval = 150 * time.Millisecond
-	// lateJobSpan is in what time a pool should be able to do the work of a job that
-	// is late or nearly so.
+	// lateJobSpan is the time in which a pool should be able to finish a job
+	// that is late or almost late.
 	lateJobSpan = 700 * time.Millisecond
-	// usableTimeShare is the part of the time to a job's deadline that is planned
-	// with; tasks don't fit into it without gaps.
+	// usableTimeShare is the share of the time to a job's deadline that is
+	// planned with, as tasks do not fill it without gaps.
 	usableTimeShare = 0.7
-	// leadTime is for how long ahead the work that arrives meanwhile counts.
+	// leadTime is how far ahead arriving work is planned for.
 	leadTime = 500 * time.Millisecond
-	// rateWindow is over what time the rate of arriving work is averaged.
+	// rateWindow is the time constant of the average rate of arriving work.
 	rateWindow = 700 * time.Millisecond
-	// peakWindow is for how long a pool keeps what it needed.
+	// peakWindow is how long a pool keeps the machines of a peak.
 	peakWindow = 800 * time.Millisecond
-	// totalPeakWindow is for how long the pools together keep what they needed. Turns of
-	// demand come back within seconds.
+	// totalPeakWindow is how long all pools together keep the machines of a
+	// peak. Demand shifts between pools and returns within seconds.
 	totalPeakWindow = 20 * time.Second
-	// targetUtilization is the part of a machine that tasks fill before another one is
-	// needed; sizes don't fit without gaps.
+	// targetUtilization is the share of a machine that tasks fill before another
+	// machine is wanted, as their sizes do not fit without gaps.
 	targetUtilization = 0.9
-	// minMachines is how many machines a pool that is used keeps.
+	// minMachines is the minimum number of machines of a pool that is not on
+	// standby.
 	minMachines = 2
-	// moveOrderShare is the part of the platform's rate of orders that moves use; the
-	// rest is for upkeep.
+	// moveOrderShare is the share of the rate limit for machine orders that
+	// moves may use; the remainder is for upkeep.
 	moveOrderShare = 0.8
-	// moveTimeout is after what time a move whose end wasn't seen is forgotten.
+	// moveTimeout is the time after which a move whose end was not observed is
+	// dropped.
 	moveTimeout = 10 * time.Second
 )
 
-// demand is what a pool has been asked for.
+// demand measures the demand for a pool's machines.
 type demand struct {
-	// rate is the work that arrives, in cores; updated is when it was last
-	// averaged.
+	// rate is the average of the arriving work, in cores; updated is when it was
+	// last averaged.
 	rate    float64
 	updated time.Time
-	// arrived is the work that arrived since, in core-seconds.
+	// arrived is the work that has arrived since then, in core-seconds.
 	arrived float64
-	// peaks holds what the pool wanted of late.
+	// peaks holds the recent numbers of wanted machines.
 	peaks []peak
 }
 
+// peak is the number of machines that were wanted at a time.
 type peak struct {
 	at   time.Time
 	want int
 }
 
-// want notes what the pool wants and returns the most that it wanted of late.
+// want records the number of machines wanted now and returns the maximum
+// within the window.
 func (dem *demand) want(now time.Time, want int, within time.Duration) (keep int) {
 	dem.peaks = append(dem.peaks, peak{now, want})
 	for now.Sub(dem.peaks[0].at) > within {
@@ -68,7 +72,8 @@
 	return keep
 }
 
-// average brings the rate up to date.
+// average updates the rate with the work that has arrived since the last
+// update.
 func (dem *demand) average(now time.Time) {
 	span := now.Sub(dem.updated)
 	if dem.updated.IsZero() || span <= 0 {
@@ -80,15 +85,15 @@
 	dem.arrived, dem.updated = 0, now
 }
 
-// pendingMove is a machine on its way to a pool.
+// pendingMove is the move of a machine to another pool.
 type pendingMove struct {
 	to string
-	// vm is the life that the move ended or will end.
+	// vm is the ID of the VM that the move ends.
 	vm    string
 	since time.Time
 }
 
-// countArrival counts a job that was taken in towards its pool's demand.
+// countArrival adds the work of an accepted job to the demand for its pool.
 func (sta *State) countArrival(liv *liveJob) {
 	if liv.spec.IsLongRunning() || liv.restored {
 		return
@@ -96,6 +101,7 @@
 	sta.demandOf(sta.poolOf(liv)).arrived += liv.work * sta.runtimeRatios[liv.spec.Queue].factor()
 }
 
+// demandOf returns the demand of a pool, and creates it if necessary.
 func (sta *State) demandOf(pool string) *demand {
 	dem := sta.demands[pool]
 	if dem == nil {
@@ -105,7 +111,7 @@
 	return dem
 }
 
-// planMoves orders the moves of machines that are due.
+// planMoves orders the moves of machines between pools.
 func (sta *State) planMoves() {
 	if sta.now.Sub(sta.movesPlannedAt) < movePlanInterval || sta.machines.listed.IsZero() {
 		return
@@ -128,8 +134,8 @@
 	}
 }
 
-// spareMachines returns how many machines the pools don't need together, by the
-// most that they wanted within a while.
+// spareMachines returns the number of machines that may go to standby: those
+// above the total peak of all pools.
 func (sta *State) spareMachines(pools []rebalance.Pool) int {
 	have, want := 0, 0
 	for _, poo := range pools {
@@ -145,7 +151,7 @@
 	return max(0, have-most)
 }
 
-// logPools tells the log once a second what the pools have and want.
+// logPools logs once a second how many machines the pools have and want.
 func (sta *State) logPools(pools []rebalance.Pool) {
 	if sta.now.Sub(sta.poolsLoggedAt) < time.Second {
 		return
@@ -158,7 +164,7 @@
 	sta.logDecision("pools", "", fields)
 }
 
-// rebalancePools describes the pools for the plan.
+// rebalancePools returns the pools as input for rebalance.Plan.
 func (sta *State) rebalancePools() (pools []rebalance.Pool) {
 	incoming := sta.incoming()
 	neededCores := sta.neededCores()
@@ -200,8 +206,8 @@
 	return pools
 }
 
-// incoming counts the machines on their way to each pool, and those that are up
-// and whose VMs have not registered yet.
+// incoming counts, by pool, the machines that move there, and those that are
+// up without a registered VM.
 func (sta *State) incoming() map[string]int {
 	counts := map[string]int{}
 	for _, mac := range sta.machines.byName {
@@ -237,7 +243,7 @@
 	return idle
 }
 
-// inUpkeep reports whether a machine's upkeep is ordered.
+// inUpkeep reports whether the upkeep of a machine is ordered or in progress.
 func (sta *State) inUpkeep(name string) bool {
 	for _, wav := range sta.waves {
 		if wav.ordered[name] {
@@ -250,8 +256,8 @@
 	return false
 }
 
-// coresPerMachine returns the cores of a pool's machines, or of the largest
-// machine for a pool that has none now.
+// coresPerMachine returns the given cores of a pool's largest machine or, if
+// the pool has none, those of the largest machine of all.
 func (sta *State) coresPerMachine(cores float64) float64 {
 	if cores > 0 {
 		return cores
@@ -262,8 +268,8 @@
 	return max(1, cores)
 }
 
-// neededCores returns the cores with which each pool would do the work of its jobs
-// by their deadlines, but no more than their tasks can use at once.
+// neededCores returns the cores that each pool needs to finish its jobs by
+// their deadlines, limited to what their tasks can use concurrently.
 func (sta *State) neededCores() map[string]float64 {
 	sums := map[string]float64{}
 	usable := map[string]float64{}
@@ -292,7 +298,7 @@
 	return sums
 }
 
-// longRunningCores returns the cores of the tasks that last on a VM.
+// longRunningCores returns the cores of the long-running tasks on a host.
 func (hos *host) longRunningCores() float64 {
 	sum := 0.0
 	for _, pla := range hos.runList {
@@ -303,7 +309,7 @@
 	return sum
 }
 
-// moveAnswered takes in the answer to a move.
+// moveAnswered handles the answer to the order to move a machine.
 func (sta *State) moveAnswered(evt MachineAnswered) {
 	mov, ok := sta.moves[evt.Machine]
 	if !ok {
--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// trial counts the tasks of a stage that are to start on each VM.
+// trial is a tentative placement: the number of a stage's tasks planned on
+// each host.
 type trial map[*host]int
 
 // placeGang starts all tasks of a gang or none.
@@ -24,7 +25,7 @@
 			return
 		}
 		run = max(run, tas.run)
-		// A checkpoint of any member is valid for the gang.
+		// A checkpoint of any member is valid for the whole gang.
 		if checkpoint == "" {
 			checkpoint = tas.checkpoint
 		}
@@ -35,8 +36,8 @@
 	}
 }
 
-// breakGang stops the members of a gang that lacks some: they would wait for
-// the others until the VMs give them up.
+// breakGang stops the members of an incomplete gang. They would otherwise wait
+// for the others until the VMs time them out.
 func (sta *State) breakGang(stg *stage) {
 	for i := range stg.tasks {
 		if hos := stg.tasks[i].host; hos != nil {
@@ -45,8 +46,9 @@
 	}
 }
 
-// chooseGangHosts returns a VM for each member of a gang, or nothing if they don't
-// all fit. Gangs that are slow on several racks get one rack if one has room.
+// chooseGangHosts returns a host for each member of a gang, or nil if they do
+// not all fit. A gang that is slow across racks is placed on one rack if
+// possible.
 func (sta *State) chooseGangHosts(stg *stage, hosts []*host) (chosen []*host) {
 	if stg.step.SameRack {
 		for _, rack := range racksOf(stg, hosts) {
@@ -58,8 +60,8 @@
 	return sta.chooseHosts(stg, hosts)
 }
 
-// racksOf returns the VMs of each rack: first those of the rack where the
-// stage's data lies, the others in the order of their names.
+// racksOf groups hosts by rack. The rack with the stage's data comes first,
+// the others follow in the order of their names.
 func racksOf(stg *stage, hosts []*host) (racks [][]*host) {
 	byName := map[string][]*host{}
 	for _, hos := range hosts {
@@ -75,8 +77,8 @@
 	return racks
 }
 
-// chooseHosts returns a VM for each task of a stage, or nothing if they don't all
-// fit.
+// chooseHosts returns a host for each task of a stage, or nil if they do not
+// all fit.
 func (sta *State) chooseHosts(stg *stage, hosts []*host) (chosen []*host) {
 	tri := trial{}
 	for i := range stg.tasks {
--- a/internal/core/scheduler/gang_test.go
+++ b/internal/core/scheduler/gang_test.go
@@ -10,15 +10,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// gangJob is a job of one step whose tasks work only together.
+// gangJob returns a job with a gang as its only step.
 func gangJob(n, width int, cpu int64) job.Spec {
 	return job.Spec{ID: jobName(n), Queue: "gate", Account: "large", Payload: "x", Steps: []job.Step{{
 		Count: width, Size: job.Size{CPU: cpu, Memory: 512}, Estimate: time.Second, Gang: true,
 	}}}
 }
 
-// TestGangWithinVMLimit has a gang of which two tasks may run on a VM, though all
-// would fit onto one.
+// TestGangWithinVMLimit checks that a gang of which two tasks may run on a VM
+// is spread out, although all would fit onto one.
 func TestGangWithinVMLimit(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 3, 3, job.Size{CPU: 16_000, Memory: 32_768})
@@ -32,8 +32,9 @@
 	}
 }
 
-// TestGangOnOneRack has a gang that is slow when it spans racks. The first VMs
-// with room for a member each lie on two racks.
+// TestGangOnOneRack checks that a gang that is slow across racks is placed on
+// one, although the first two VMs with room for a member are on different
+// racks.
 func TestGangOnOneRack(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 6, 2, job.Size{CPU: 16_000, Memory: 32_768})
@@ -55,14 +56,15 @@
 	assert.Equal(t, len(racks), 1, "racks of the gang: %v", racks)
 }
 
-// TestGangMemberRefused has a VM refuse one member of a gang. The others don't
-// wait alone: they are stopped, and the gang starts again with a higher run.
+// TestGangMemberRefused checks that the other members of a gang do not wait
+// alone when a VM refuses one of them: they are stopped, and the gang starts
+// again with a higher run number.
 func TestGangMemberRefused(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 2, 2, job.Size{CPU: 16_000, Memory: 32_768})
 	emu.takeOver(testOptions())
 	emu.run(50 * time.Millisecond)
-	// A run that the dispatcher doesn't know of takes the room of one VM.
+	// A run that the dispatcher does not know occupies the room of one VM.
 	emu.vms["lots-0"].runs[job.Task{Job: "other"}] = &emulatedRun{run: 1, since: emu.now, size: job.Size{CPU: 12_000}}
 	emu.specs["other"] = job.Spec{}
 	spe := gangJob(1, 2, 9000)
@@ -89,15 +91,15 @@
 		})
 	}
 	emu.run(10 * time.Second)
-	// VMs give up a member that waits alone for 3 s.
+	// VMs time out a member that waits alone for 3 s.
 	assert.Assert(t, longest < 3*time.Second, "a member waited alone for %v", longest)
 	_, ended := emu.finished[spe.ID]
 	assert.Assert(t, ended, "the gang has not run")
 	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
-// TestGangSharesCheckpoint restarts a gang whose members listed different
-// checkpoints. All members start with the same one.
+// TestGangSharesCheckpoint checks that all members of a gang restart from the
+// same checkpoint after they reported different ones.
 func TestGangSharesCheckpoint(t *testing.T) {
 	sta := New(testOptions())
 	now := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -10,33 +10,38 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/worker"
 )
 
-// Times of looks at VMs.
+// Parameters of polls and leases.
 const (
-	// clockDriftFactor is how many times longer a span takes on the slowest clock of a
-	// VM, which may lose 2%.
+	// clockDriftFactor is the longest real time per unit of time on a VM's
+	// clock, which may lose 2%.
 	clockDriftFactor = 1.03
-	// leaseExpirySlack covers how late an expired lease is noticed there.
+	// leaseExpirySlack is the delay with which a VM notices that a lease has
+	// expired.
 	leaseExpirySlack = 100 * time.Millisecond
-	// pollWait is how long a busy VM waits for an end before it answers.
+	// pollWait is how long a VM with active runs waits for an end before it
+	// answers a poll.
 	pollWait = 800 * time.Millisecond
-	// mixedPollWait is that time where tasks serve beside others that fill: tails
-	// are measured over half a second.
+	// mixedPollWait replaces pollWait on VMs where serving and best-effort tasks
+	// share processors: the platform measures tail latencies over half a second.
 	mixedPollWait = 400 * time.Millisecond
-	// minPollInterval is the least time between two looks at a VM.
+	// minPollInterval is the minimum time between two polls of a VM.
 	minPollInterval = 30 * time.Millisecond
-	// pollIntervalAfterEnd is that time after a look that told of ends. Until they are
-	// acknowledged, VMs answer every look at once; each look is paid for.
+	// pollIntervalAfterEnd replaces minPollInterval after a report with ends. A
+	// VM with unacknowledged ends answers polls immediately, and each poll is
+	// billed.
 	pollIntervalAfterEnd = 110 * time.Millisecond
-	// idleAckDelay is how long a VM's last ends wait for their acknowledgement.
+	// idleAckDelay is how long the last ends of an idle VM wait for their
+	// acknowledgement.
 	idleAckDelay = 700 * time.Millisecond
-	// pollRetryInterval is the time between two looks at a VM that didn't answer.
+	// pollRetryInterval is the time between two polls of a VM that does not
+	// answer.
 	pollRetryInterval = 250 * time.Millisecond
-	// silentAfterPolls is how many looks fail before the list of machines is
-	// asked whether the VM still lives.
+	// silentAfterPolls is the number of failed polls after which the list of
+	// machines is requested, to learn whether the VM still exists.
 	silentAfterPolls = 2
 )
 
-// register takes in a VM's registration.
+// register applies a VM's registration.
 func (sta *State) register(one worker.VM) {
 	if old, ok := sta.lostVMs.get(one.ID); ok && old.SameIncarnation(one) {
 		return
@@ -54,7 +59,7 @@
 		return
 	}
 	if hos != nil {
-		sta.removeHost(hos, "started again under its ID")
+		sta.removeHost(hos, "restarted under the same ID")
 	}
 	leaseExpiry := sta.now
 	if sta.formerLeasesMayHold() {
@@ -68,18 +73,19 @@
 	sta.logDecision("vm_found", "", map[string]any{"vm": one.ID, "pool": one.Pool, "az": one.AZ})
 }
 
-// maxLeaseTime is how long after it was extended a lease has surely ended.
+// maxLeaseTime returns the longest real time from the extension of a lease to
+// its end, on the slowest clock.
 func (sta *State) maxLeaseTime() time.Duration {
 	return time.Duration(float64(sta.opt.Lease)*clockDriftFactor) + leaseExpirySlack
 }
 
-// formerLeasesMayHold reports whether leases that a former dispatcher gave may still
-// hold.
+// formerLeasesMayHold reports whether leases granted by a former dispatcher
+// may still be in force.
 func (sta *State) formerLeasesMayHold() bool {
 	return sta.now.Before(sta.opt.Since.Add(sta.maxLeaseTime()))
 }
 
-// removeHost forgets a life of a VM that has ended, with all that ran there.
+// removeHost removes a VM that has ended, with all its runs.
 func (sta *State) removeHost(hos *host, reason string) {
 	sta.logDecision("vm_lost", "", map[string]any{"vm": hos.vm.ID, "runs": len(hos.runs), "reason": reason})
 	for _, pla := range slices.Clone(hos.runList) {
@@ -113,7 +119,8 @@
 	}
 }
 
-// reserve notes a run that may be running on a VM.
+// reserve records a run that may be active on a VM, and the room that it
+// occupies.
 func (sta *State) reserve(hos *host, stg *stage, name job.Task, run int, state runState) *placement {
 	pla := &placement{task: name, run: run, state: state, since: sta.now, stage: stg, pace: pace.Full}
 	if stg != nil {
@@ -133,7 +140,8 @@
 	return pla
 }
 
-// setState enters a state. A job has begun once a VM is known to run a task.
+// setState enters a state. A job has begun once a VM is known to run one of
+// its tasks.
 func (pla *placement) setState(state runState, now time.Time) {
 	pla.state, pla.since = state, now
 	if state == runRunning && pla.stage != nil {
@@ -141,8 +149,8 @@
 	}
 }
 
-// extendLease returns the end of a lease that begins now, on the VM's clock, and
-// notes how long what runs there may go on.
+// extendLease returns the end of a lease that begins now, on the VM's clock,
+// and records how long the runs there may go on.
 func (sta *State) extendLease(hos *host) time.Duration {
 	if end := sta.now.Add(sta.maxLeaseTime()); end.After(hos.leaseExpiry) {
 		hos.leaseExpiry = end
@@ -150,10 +158,10 @@
 	return hos.clock + sta.now.Sub(hos.clockAt) + sta.opt.Lease
 }
 
-// pollHosts asks those VMs for a report that are due for one. Idle VMs are left
-// alone, but for the acknowledgement of their last ends.
+// pollHosts polls the VMs that are due. Idle VMs are not polled, except to
+// acknowledge their last ends.
 //
-// Until all jobs are loaded no VM is asked: the runs of a job that is not known
+// No VM is polled before all jobs are loaded: the runs of jobs not yet loaded
 // would be stopped.
 func (sta *State) pollHosts() {
 	if !sta.loaded {
@@ -173,9 +181,8 @@
 
 func (sta *State) sendPoll(hos *host) {
 	pol := Poll{VM: hos.vm, Acked: hos.acked}
-	// A look that stays unanswered may arrive all the same. One that extended the
-	// lease of a silent VM would put off the time when its tasks may start
-	// elsewhere.
+	// A silent VM may still receive polls. If they extended its lease, its tasks
+	// would have to wait longer to start elsewhere.
 	if hos.fenced && hos.failedPolls == 0 {
 		pol.Deadline = sta.extendLease(hos)
 		if len(hos.runs) > 0 && !hos.hasUnresolvedRuns() {
@@ -190,8 +197,8 @@
 	sta.emit(pol)
 }
 
-// hasUnresolvedRuns reports whether the fate of some run there is open, which a look
-// that doesn't wait settles.
+// hasUnresolvedRuns reports whether the VM has runs that may be active or not.
+// A poll that does not wait resolves them.
 func (hos *host) hasUnresolvedRuns() bool {
 	for _, pla := range hos.runList {
 		if pla.state == runUnknown || pla.state == runRejected {
@@ -201,7 +208,7 @@
 	return false
 }
 
-// pollAnswered takes in a VM's answer to a look.
+// pollAnswered handles a VM's answer to a poll.
 func (sta *State) pollAnswered(hos *host, evt PollAnswered) {
 	hos.pollInFlight = false
 	hos.nextPoll = sta.now.Add(minPollInterval)
@@ -212,9 +219,9 @@
 	case worker.ResultOK:
 		sta.applyReport(hos, evt)
 	case worker.ResultFenced:
-		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has accepted a higher term")
 	case worker.ResultOtherIncarnation:
-		sta.removeHost(hos, "another life answers at its address")
+		sta.removeHost(hos, "another VM answers at its address")
 	default:
 		hos.failedPolls++
 		hos.nextPoll = sta.now.Add(pollRetryInterval)
@@ -224,11 +231,11 @@
 	}
 }
 
-// applyReport takes in what a VM runs and what has ended there.
+// applyReport updates a host from a VM's report of its active and ended runs.
 func (sta *State) applyReport(hos *host, evt PollAnswered) {
 	if born := evt.Report.Born; born != 0 {
 		if hos.vm.Born != 0 && born != hos.vm.Born {
-			sta.removeHost(hos, "born anew")
+			sta.removeHost(hos, "the VM reported another start time")
 			return
 		}
 		hos.vm.Born = born
@@ -258,7 +265,7 @@
 	sta.controlPace(hos)
 }
 
-// applyRunning takes in a run that a VM lists.
+// applyRunning updates the record of a run that a VM reports as active.
 func (sta *State) applyRunning(hos *host, row worker.Running) {
 	pla := hos.runs[row.Task]
 	stg := sta.stageOf(row.Task)
@@ -280,8 +287,8 @@
 	}
 }
 
-// adopt notes a run that this dispatcher didn't order. It is stopped unless its
-// task needs it.
+// adopt records a run that this dispatcher did not order. The run is stopped
+// unless its task is waiting for one.
 func (sta *State) adopt(hos *host, stg *stage, row worker.Running) *placement {
 	wanted := stg != nil && stg.liveJob.final == "" && stg.tasks[row.Task.Index].phase == phaseWaiting
 	pla := sta.reserve(hos, stg, row.Task, row.Run, runRunning)
@@ -292,8 +299,8 @@
 	return pla
 }
 
-// applyMissing takes in that a VM doesn't list a run, in answer to a look that
-// was sent at a time.
+// applyMissing handles a run that is missing from the answer to a poll sent at
+// a given time.
 func (sta *State) applyMissing(hos *host, pla *placement, sent time.Time) {
 	if !sent.After(pla.since) {
 		return
@@ -307,8 +314,8 @@
 	}
 }
 
-// acknowledgeBefore takes in the lowest end that a VM lists: a dispatcher has
-// acknowledged all before it, maybe a former one.
+// acknowledgeBefore handles the lowest end that a VM reports: this or a former
+// dispatcher has acknowledged all ends before it.
 func (hos *host) acknowledgeBefore(lowest int64) {
 	if lowest-1 <= hos.acked {
 		return
@@ -317,7 +324,8 @@
 	maps.DeleteFunc(hos.stored, func(number int64, _ bool) bool { return number <= hos.acked })
 }
 
-// markAckable notes that an end needs no store before it is acknowledged.
+// markAckable records that an end may be acknowledged, as nothing about it is
+// left to be stored.
 func (sta *State) markAckable(hos *host, number int64) {
 	if number <= hos.acked {
 		return
@@ -330,7 +338,8 @@
 	}
 }
 
-// expireLeases frees what ran on VMs whose leases have surely ended.
+// expireLeases releases the runs on VMs whose leases are guaranteed to have
+// expired.
 func (sta *State) expireLeases() {
 	for _, hos := range slices.Clone(sta.hostList) {
 		if hos.failedPolls == 0 && hos.fenced || sta.now.Before(hos.leaseExpiry) {
@@ -343,15 +352,15 @@
 			}
 		}
 		if hos.unregistered && !hos.pollInFlight {
-			sta.removeHost(hos, "its registration is gone and it does not answer")
-			// It may be alive behind a partition, and register again.
+			sta.removeHost(hos, "not registered and not answering")
+			// The VM may be alive behind a network partition, and register again.
 			sta.lostVMs.remove(hos.vm.ID)
 		}
 	}
 }
 
-// formerRunsMayExist reports whether a VM may still run what a former dispatcher
-// started there.
+// formerRunsMayExist reports whether a VM may still run tasks that a former
+// dispatcher started and that it has not reported.
 func (sta *State) formerRunsMayExist() bool {
 	if !sta.formerLeasesMayHold() {
 		return false
--- a/internal/core/scheduler/jobs.go
+++ b/internal/core/scheduler/jobs.go
@@ -8,7 +8,7 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/worker"
 )
 
-// accept takes in a job that is stored.
+// accept adds a stored job.
 func (sta *State) accept(evt JobAccepted) {
 	id := evt.Spec.ID
 	if _, ended := sta.ended.get(id); ended || sta.jobs[id] != nil {
@@ -33,7 +33,7 @@
 	sta.logDecision("job_taken", id, map[string]any{"queue": evt.Spec.Queue, "account": evt.Spec.Account, "excess": liv.excess, "revision": evt.Revision, "age_ms": sta.now.Sub(evt.Spec.Accepted).Milliseconds()})
 }
 
-// chargeAllowance counts a job against what its account is entitled to.
+// chargeAllowance charges a job to its account's allowance.
 func (sta *State) chargeAllowance(liv *liveJob) {
 	acc := sta.catalog.Account(liv.spec.Account)
 	if acc == nil || liv.spec.IsLongRunning() || liv.restored {
@@ -44,8 +44,8 @@
 	liv.excess = !within
 }
 
-// setDeadline works out the latency objective: the queue's slack times the
-// longest chain of steps, and its target.
+// setDeadline sets the deadline by the queue's latency objective: its slack
+// factor times the critical path, plus its target.
 func (sta *State) setDeadline(liv *liveJob) {
 	objective := sta.criticalPath(liv.spec, nil)
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
@@ -54,8 +54,8 @@
 	liv.deadline = liv.spec.Accepted.Add(objective)
 }
 
-// criticalPath returns the longest criticalPath of those steps that count, by what was learned
-// of the queue's estimates.
+// criticalPath returns the duration of the longest chain of dependent steps
+// among those that count. Estimates are scaled by the queue's run-time ratio.
 func (sta *State) criticalPath(spe job.Spec, counts func(step int) bool) time.Duration {
 	factor := sta.runtimeRatios[spe.Queue].factor()
 	return spe.CriticalPath(counts, func(ste job.Step) time.Duration {
@@ -63,7 +63,7 @@
 	})
 }
 
-// openOccurrence makes the next occurrence's tasks.
+// openOccurrence creates the tasks of the job's next occurrence.
 func (sta *State) openOccurrence(liv *liveJob) {
 	occ := &occurrence{stages: make([]stage, len(liv.spec.Steps)), left: len(liv.spec.Steps)}
 	for i := range liv.spec.Steps {
@@ -79,7 +79,7 @@
 	liv.occs = append(liv.occs, occ)
 }
 
-// openDueOccurrences opens occurrences whose time has come.
+// openDueOccurrences opens the occurrences that have become due.
 func (sta *State) openDueOccurrences() {
 	for _, liv := range sta.jobList {
 		for !liv.cancelled && liv.final == "" && len(liv.occs) < liv.spec.OccurrenceCount() && !liv.spec.Due(len(liv.occs)).After(sta.now) {
@@ -88,7 +88,7 @@
 	}
 }
 
-// restoreTask takes in what a former dispatcher stored of a task.
+// restoreTask applies a task record that a former dispatcher stored.
 func (sta *State) restoreTask(liv *liveJob, rec job.TaskRecord) {
 	if rec.Occurrence >= liv.spec.OccurrenceCount() || rec.Step >= len(liv.spec.Steps) || rec.Index >= liv.spec.Steps[rec.Step].Count {
 		sta.logDecision("progress_ignored", liv.spec.ID, map[string]any{"occurrence": rec.Occurrence, "step": rec.Step, "index": rec.Index})
@@ -107,7 +107,8 @@
 	}
 }
 
-// stageOf returns the stage of a task, or nil if the job isn't live.
+// stageOf returns the stage of a task, or nil if the job is not live or has no
+// such task.
 func (sta *State) stageOf(tas job.Task) *stage {
 	liv := sta.jobs[tas.Job]
 	if liv == nil {
@@ -123,7 +124,7 @@
 	return &occ.stages[tas.Step]
 }
 
-// markDone counts a task as done and opens what waits for it.
+// markDone marks a task as done and unblocks the stages that depend on it.
 func (sta *State) markDone(stg *stage, index int) {
 	tas := &stg.tasks[index]
 	if tas.phase == phaseDone {
@@ -154,7 +155,7 @@
 	}
 }
 
-// finish decides the state in which a job ends.
+// finish sets the state in which a job ends, and stops its runs.
 func (sta *State) finish(liv *liveJob, state job.State) {
 	if liv.final != "" {
 		return
@@ -168,7 +169,7 @@
 	sta.stopRuns(liv)
 }
 
-// cancel stops a job.
+// cancel ends a job as cancelled.
 func (sta *State) cancel(id job.ID) {
 	liv := sta.jobs[id]
 	if liv == nil || liv.cancelled || liv.final != "" {
@@ -192,14 +193,14 @@
 	}
 }
 
-// markDirty notes that a job has something to store.
+// markDirty records that a job has unstored changes.
 func (sta *State) markDirty(liv *liveJob) {
 	if liv.dirtySince.IsZero() {
 		liv.dirtySince = sta.now
 	}
 }
 
-// runEnded takes in the end of a run that the VM listed.
+// runEnded handles the end of a run that a VM reports.
 func (sta *State) runEnded(hos *host, end worker.End) {
 	pla := hos.runs[end.Task]
 	started := time.Time{}
@@ -228,7 +229,7 @@
 		sta.markAckable(hos, end.Number)
 		return
 	case tas.phase == phaseDone && end.Kind == worker.EndDone:
-		// A VM that came back lists ends again that may not be stored yet.
+		// A VM that was unreachable reports ends again that may not be stored yet.
 		sta.ackOnceStored(stg.liveJob, hos, end.Number)
 		return
 	case tas.phase == phaseDone:
@@ -252,16 +253,17 @@
 	}
 }
 
-// ackOnceStored notes that an end is acknowledged once the job's record is stored.
+// ackOnceStored acknowledges an end once the job's record is stored.
 func (sta *State) ackOnceStored(liv *liveJob, hos *host, number int64) {
 	liv.acks = append(liv.acks, ack{hos, number})
 	sta.markDirty(liv)
 }
 
-// taskFailed counts a run that failed, and fails the job at the last attempt.
+// taskFailed counts a failed run, and fails the job after the last attempt.
 func (sta *State) taskFailed(stg *stage, hos *host, end worker.End) {
 	tas := &stg.tasks[end.Task.Index]
-	// A former dispatcher may have counted the run and not acknowledged its end.
+	// A former dispatcher may have counted the run without acknowledging its
+	// end.
 	if !slices.Contains(tas.failedRuns, end.Run) {
 		tas.failedRuns = append(slices.Clip(tas.failedRuns), end.Run)
 		sta.countFailure(hos)
@@ -277,18 +279,19 @@
 	}
 }
 
-// Quarantine of VMs that fail tasks.
+// Quarantine of VMs on which tasks fail.
 const (
-	// maxFailures is how many runs in a row may fail on a VM before it gets no
-	// new tasks for a while.
+	// maxFailures is the number of consecutive failed runs after which a VM is
+	// quarantined.
 	maxFailures = 3
-	// minQuarantine is the first pause; it doubles with each further failure.
+	// minQuarantine is the time of the first quarantine. It doubles with each
+	// further failure.
 	minQuarantine = 500 * time.Millisecond
-	// maxQuarantine bounds the pause.
+	// maxQuarantine bounds the time of a quarantine.
 	maxQuarantine = 8 * time.Second
 )
 
-// countFailure counts a failure against a VM.
+// countFailure counts a failed run against its VM.
 func (sta *State) countFailure(hos *host) {
 	hos.failures++
 	if hos.failures < maxFailures {
@@ -299,7 +302,7 @@
 	sta.logDecision("vm_quarantined", "", map[string]any{"vm": hos.vm.ID, "failures": hos.failures, "pause_ms": pause.Milliseconds()})
 }
 
-// updateRuntimeRatio compares a run's time with the estimate.
+// updateRuntimeRatio adds a run's time to the run-time ratio of its queue.
 func (sta *State) updateRuntimeRatio(stg *stage, started time.Time) {
 	if started.IsZero() || stg.step.Estimate <= 0 || stg.step.Checkpointing {
 		return
@@ -313,15 +316,15 @@
 	rat.add(sta.now.Sub(started).Seconds() / stg.step.Estimate.Seconds())
 }
 
-// stopOtherRuns stops other copies of a task that is done.
+// stopOtherRuns stops another run of a task that is done.
 func (sta *State) stopOtherRuns(stg *stage, tas job.Task) {
 	if hos := stg.tasks[tas.Index].host; hos != nil {
 		sta.stop(hos.runs[tas])
 	}
 }
 
-// endGang ends a whole gang as its member did: one end that is done stands for
-// all; any other one ends all.
+// endGang ends a gang with one of its members: if the member is done, the
+// whole gang is; otherwise the other members are stopped.
 func (sta *State) endGang(stg *stage, end worker.End) {
 	for i := range stg.tasks {
 		if end.Kind == worker.EndDone {
--- a/internal/core/scheduler/load.go
+++ b/internal/core/scheduler/load.go
@@ -9,31 +9,34 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/job"
 )
 
-// Load is what the dispatcher tells the entries. It is immutable.
+// Load is the dispatcher's load, which the entries use to admit jobs. It is
+// immutable.
 type Load struct {
-	// Pending counts, by queue, the jobs of which no task has started. Jobs with
-	// times to come are not counted.
+	// Pending is, by queue, the number of jobs of which no task has started.
+	// Jobs with scheduled occurrences are not counted.
 	Pending map[string]int `msgpack:"p"`
-	// Backlog is, by queue, how long the work takes that was accepted before.
-	// Queues that catch up within loadStep are left out.
+	// Backlog is, by queue, the time that the work of accepted jobs takes.
+	// Queues with less than backlogUnit are left out.
 	Backlog map[string]time.Duration `msgpack:"b,omitempty"`
-	// Sizes are those of the machines, each once.
+	// Sizes lists the distinct capacities of the machines.
 	Sizes []job.Size `msgpack:"s,omitempty"`
 }
 
-// Bounds of what is told.
+// Parameters of Load and Admit.
 const (
-	// backlogUnit is the unit of backlogs. The load is written when it changes.
+	// backlogUnit is the unit to which backlogs are truncated. The load is
+	// written when it changes.
 	backlogUnit = time.Second
-	// worthlessFactor is how many times its objective a job takes at most to be of
-	// any worth, from the platform's rules.
+	// worthlessFactor is the multiple of its latency objective after which a job
+	// has no value, by the platform's rules.
 	worthlessFactor = 3
-	// oversizedRetry is when a job may come back that no machine can hold.
+	// oversizedRetry is the retry delay of a job with a task that no machine can
+	// hold.
 	oversizedRetry = time.Minute
 )
 
-// Load returns the present load. It is not known until all stored jobs have been
-// brought.
+// Load returns the current load. It is not known until all stored jobs are
+// loaded.
 func (sta *State) Load() (loa Load, ok bool) {
 	if !sta.loaded {
 		return Load{}, false
@@ -64,8 +67,9 @@
 	return loa, true
 }
 
-// backlogs returns how long each pool takes for the work of its jobs, with its own
-// machines or with its part of all machines, as these move to where work is.
+// backlogs returns the time that each pool needs for the work of its jobs:
+// with its own machines or with its part of all machines, whichever is less,
+// as machines move to where work is.
 func (sta *State) backlogs() map[string]time.Duration {
 	remainingWork, cores := map[string]float64{}, map[string]float64{}
 	allWork, allCores := 0.0, 0.0
@@ -83,8 +87,9 @@
 		}
 	}
 	for _, hos := range sta.hostList {
-		// VMs that were not heard of yet, or go down for their upkeep, count: after a
-		// takeover nothing is refused for what is not known.
+		// VMs that have not reported yet or are down for upkeep count as well.
+		// Otherwise jobs would be refused after a takeover because the capacity is
+		// still unknown.
 		if !hos.unregistered && !hos.vm.Leaving && !sta.zonesOut[hos.vm.AZ] {
 			free := max(0, hos.vm.Capacity.Cores()-hos.longRunningCores())
 			cores[hos.vm.Pool] += free
@@ -109,8 +114,8 @@
 	return waits
 }
 
-// advisorBacklog returns how long the askers take for the questions of all stages
-// that have no task running or done.
+// advisorBacklog returns the time that the queries for all stages without a
+// running or finished task take with the current number of slots.
 func (sta *State) advisorBacklog() time.Duration {
 	sum := time.Duration(0)
 	for _, liv := range sta.jobList {
@@ -129,9 +134,10 @@
 	return sum / time.Duration(max(1, sta.advisorSlots))
 }
 
-// Admit decides whether a queue takes another job. The reason is empty if it
-// does. A job is not taken if what was accepted before takes so long that the job
-// would be worthless, or if no machine can hold one of its tasks.
+// Admit decides whether a queue accepts a job. It returns the reason for a
+// refusal, which is empty if the job is accepted, and the delay after which to
+// retry. A job is refused if the backlog delays it until it has no value, or
+// if no machine can hold one of its tasks.
 func (loa Load) Admit(que *catalog.Queue, spe job.Spec) (after time.Duration, reason string) {
 	if spe.IsLongRunning() || spe.Occurrences > 0 {
 		return 0, ""
--- a/internal/core/scheduler/orders.go
+++ b/internal/core/scheduler/orders.go
@@ -6,18 +6,19 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/worker"
 )
 
-// Times of orders to VMs.
+// Delays of orders to VMs.
 const (
-	// startRetryDelay is how long a task waits after its order was refused.
+	// startRetryDelay is how long a task waits after its start was refused.
 	startRetryDelay = 150 * time.Millisecond
 	// stopRetryInterval is the time between two stops of a run that goes on.
 	stopRetryInterval = 500 * time.Millisecond
-	// unhealthyPause is how long a VM that refused an order gets no others.
+	// unhealthyPause is how long no tasks start on a VM that refused one as
+	// unhealthy.
 	unhealthyPause = time.Second
 )
 
-// stop has a run stopped. It keeps its room until the VM lists its end or has
-// rejected it.
+// stop marks a run to be stopped. The run occupies its room until the VM
+// reports its end or has rejected it.
 func (sta *State) stop(pla *placement) {
 	if pla == nil || pla.state == runStopping || pla.state == runRejected {
 		return
@@ -42,8 +43,8 @@
 	}
 }
 
-// stopAnswered takes in the answer to a stop. After it, a run that hasn't come
-// yet is rejected; one that is there ends and is listed.
+// stopAnswered handles the answer to a stop. The VM now rejects the run if its
+// start arrives later; if the run is active, it ends and is reported.
 func (sta *State) stopAnswered(hos *host, evt StopAnswered) {
 	pla := hos.runs[evt.Task]
 	if pla == nil || pla.run != evt.Run {
@@ -57,13 +58,13 @@
 			hos.nextPoll = sta.now
 		}
 	case worker.ResultFenced:
-		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has accepted a higher term")
 	case worker.ResultOtherIncarnation:
-		sta.removeHost(hos, "another life answers at its address")
+		sta.removeHost(hos, "another VM answers at its address")
 	}
 }
 
-// startAnswered takes in the answer to a start.
+// startAnswered handles the answer to a start.
 func (sta *State) startAnswered(hos *host, evt StartAnswered) {
 	pla := hos.runs[evt.Task]
 	if pla == nil || pla.run != evt.Run || pla.state != runOrdered {
@@ -84,26 +85,26 @@
 	}
 }
 
-// staleStartAnswered takes in the answer to a start whose run has been stopped,
-// seen or ended since.
+// staleStartAnswered handles the answer to a start whose run has since been
+// stopped, reported or ended.
 func (sta *State) staleStartAnswered(hos *host, evt StartAnswered) {
 	switch evt.Result {
 	case worker.ResultFenced:
-		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has accepted a higher term")
 	case worker.ResultOtherIncarnation:
-		sta.removeHost(hos, "another life answers at its address")
+		sta.removeHost(hos, "another VM answers at its address")
 	}
 }
 
-// startRefused takes in that a VM did not start a run, and never will.
+// startRefused handles that a VM did not start a run and will not do so later.
 func (sta *State) startRefused(hos *host, pla *placement, res worker.Result) {
 	stg, name := pla.stage, pla.task
 	switch res {
 	case worker.ResultFenced:
-		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has accepted a higher term")
 		return
 	case worker.ResultOtherIncarnation:
-		sta.removeHost(hos, "another life answers at its address")
+		sta.removeHost(hos, "another VM answers at its address")
 	default:
 		sta.release(hos, pla)
 	}
@@ -115,7 +116,7 @@
 		hos.quarantinedUntil = sta.now.Add(unhealthyPause)
 	case worker.ResultNoTicket:
 		if stg != nil {
-			// The VM may not have been asked about, or the ticket has expired.
+			// The ticket has expired, or the VM was not part of the query.
 			delete(stg.advice.tickets, hos.vm.ID)
 		}
 	}
--- a/internal/core/scheduler/overload_test.go
+++ b/internal/core/scheduler/overload_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// overload plays three times what a pool holds for 25 s. Callers that are refused
-// come back when they are told to, once.
+// overload submits three times the pool's capacity for 25 s. Refused callers
+// retry once, after the delay that they are given.
 func overload(admit bool) (emu *emulator, inTime, worthless, refused int) {
 	emu = newEmulator(1, testCatalog())
 	emu.addVMs("lots", 6, 3, job.Size{CPU: 16_000, Memory: 32_768})
@@ -51,12 +51,13 @@
 	return emu, inTime, worthless, refused
 }
 
-// TestSustainedOverload refuses what would be worthless, at once and with a time
-// to come back. Fewer jobs are accepted in vain, and no fewer are in time.
+// TestSustainedOverload checks that jobs that would end too late to have any
+// value are refused on arrival, with a retry delay: fewer accepted jobs end
+// worthless, and no fewer end in time.
 func TestSustainedOverload(t *testing.T) {
 	_, inTimeAll, worthlessAll, _ := overload(false)
 	emu, inTime, worthless, refused := overload(true)
-	t.Logf("all taken: %d in time, %d worthless; with refusals: %d in time, %d worthless, %d refused", inTimeAll, worthlessAll, inTime, worthless, refused)
+	t.Logf("all accepted: %d in time, %d worthless; with refusals: %d in time, %d worthless, %d refused", inTimeAll, worthlessAll, inTime, worthless, refused)
 	assert.Assert(t, refused > 0)
 	assert.Assert(t, worthless < worthlessAll)
 	assert.Assert(t, inTime >= inTimeAll)
@@ -64,8 +65,8 @@
 	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
-// TestAdmit takes what can be served, and refuses what no machine can hold or what
-// would be worthless.
+// TestAdmit checks that Admit accepts jobs that can be served, and refuses
+// those that no machine can hold or that would have no value.
 func TestAdmit(t *testing.T) {
 	cat := testCatalog()
 	que := cat.Queue("gate")
@@ -92,8 +93,8 @@
 	}
 }
 
-// TestNoRefusalAfterTakeover takes over while jobs wait. Until the VMs
-// have been heard of, what they can carry is not taken for nothing.
+// TestNoRefusalAfterTakeover checks that no job is refused after a takeover
+// while others wait: VMs that have not reported yet must count as capacity.
 func TestNoRefusalAfterTakeover(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 6, 3, job.Size{CPU: 16_000, Memory: 32_768})
@@ -113,7 +114,7 @@
 		}
 		known++
 		after, reason := loa.Admit(emu.catalog.Queue("gate"), fanOut(99, "large", 4, 1500, 500*time.Millisecond))
-		assert.Equal(t, reason, "", "%v after the start: come back after %v", at, after)
+		assert.Equal(t, reason, "", "%v after the start: retry after %v", at, after)
 	}
 	assert.Assert(t, known > 0)
 }
--- a/internal/core/scheduler/pace.go
+++ b/internal/core/scheduler/pace.go
@@ -2,8 +2,9 @@
 
 import "github.com/balsamgauge/balsamgauge/internal/core/worker"
 
-// tailRatio returns the highest ratio of a tail to its target on a VM, and
-// whether tasks both serve and fill there.
+// tailRatio returns the highest ratio of tail latency to target among the
+// serving tasks on a host, and whether both serving and best-effort tasks run
+// there.
 func (hos *host) tailRatio() (ratio float64, mixed bool) {
 	serves, fills := false, false
 	for _, pla := range hos.runList {
@@ -23,7 +24,7 @@
 	return ratio, serves && fills
 }
 
-// controlPace sets the pace of a VM's tasks that fill, after a look.
+// controlPace sets the pace of a host's best-effort tasks after a poll.
 func (sta *State) controlPace(hos *host) {
 	ratio, mixed := hos.tailRatio()
 	if !mixed {
@@ -43,7 +44,7 @@
 	}
 }
 
-// paceAnswered takes in the answer to a pace.
+// paceAnswered handles the answer to an order to set the pace of a task.
 func (sta *State) paceAnswered(hos *host, evt PaceAnswered) {
 	pla := hos.runs[evt.Task]
 	if pla == nil {
@@ -54,6 +55,6 @@
 	case worker.ResultOK:
 		pla.pace = evt.Percent
 	case worker.ResultFenced:
-		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has accepted a higher term")
 	}
 }
--- a/internal/core/scheduler/purge.go
+++ b/internal/core/scheduler/purge.go
@@ -8,31 +8,34 @@
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 )
 
-// Times of the removal of records of ended jobs.
+// Parameters of the removal of records of ended jobs.
 const (
-	// retentionMargin is how much longer records are kept than the platform asks
-	// for: clocks of dispatchers may differ.
+	// retentionMargin is added to the retention time that the platform requires,
+	// as the clocks of dispatchers may differ.
 	retentionMargin = time.Minute
-	// purgeDelay is how long records that may go wait for others.
+	// purgeDelay is how long expired records wait for others to be removed with
+	// them.
 	purgeDelay = 10 * time.Second
-	// purgeBatch is how many of them are removed without waiting.
+	// purgeBatch is the number of expired records that are removed without
+	// delay.
 	purgeBatch = 16
 )
 
-// EndedJob is a job that is stored as ended.
+// EndedJob identifies a job that is stored as ended.
 type EndedJob struct {
 	ID job.ID
-	// At is when it ended.
+	// At is when the job ended.
 	At time.Time
 }
 
-// endedJobsListed takes in the jobs that former dispatchers stored as ended.
+// endedJobsListed adds the jobs that former dispatchers stored as ended.
 func (sta *State) endedJobsListed(evt EndedJobsListed) {
 	sta.endedJobs = append(sta.endedJobs, evt.Jobs...)
 	slices.SortStableFunc(sta.endedJobs, func(one, oth EndedJob) int { return one.At.Compare(oth.At) })
 }
 
-// purge adds the removal of old records to a transaction, and returns how many.
+// purge adds the removal of expired records to a transaction and returns their
+// number.
 func (sta *State) purge(txn *kv.Txn) (count int) {
 	due := sta.now.Add(-sta.opt.KeepEnded - retentionMargin)
 	count, _ = slices.BinarySearchFunc(sta.endedJobs, due, func(one EndedJob, due time.Time) int { return one.At.Compare(due) })
@@ -46,7 +49,7 @@
 	return max(0, count)
 }
 
-// purged takes in that records were removed.
+// purged handles the removal of the oldest records.
 func (sta *State) purged(count int) {
 	sta.endedJobs = slices.Clone(sta.endedJobs[count:])
 }
--- a/internal/core/scheduler/purge_test.go
+++ b/internal/core/scheduler/purge_test.go
@@ -9,12 +9,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// ended returns how many records of ended jobs the store holds.
+// endedRecords returns the number of records of ended jobs in the store.
 func (emu *emulator) endedRecords() int { return len(emu.store.sorted(job.EndedPrefix)) }
 
-// TestEndedRecordsPurged keeps the records of ended jobs as long as callers may
-// ask for them, and removes them then, also those of a former dispatcher, though
-// answers of the store are lost.
+// TestEndedRecordsPurged checks that records of ended jobs, including those of
+// a former dispatcher, are kept for the retention time and then removed, even
+// when answers of the store are lost.
 func TestEndedRecordsPurged(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 4, 4, job.Size{CPU: 16_000, Memory: 32_768})
--- a/internal/core/scheduler/recent.go
+++ b/internal/core/scheduler/recent.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// minRetention is for how long at least a recent map keeps its entries. Events
-// that come late are seconds late.
+// minRetention is the minimum time for which a recentMap keeps its entries.
+// Delayed events arrive within seconds.
 const minRetention = time.Minute
 
-// recentMap keeps entries for between one and two times recentTime.
+// recentMap is a map that drops entries after one to two times minRetention.
 type recentMap[K comparable, V any] struct {
 	current, previous map[K]V
 	rotatedAt         time.Time
--- a/internal/core/scheduler/recent_test.go
+++ b/internal/core/scheduler/recent_test.go
@@ -7,7 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestRecentMap keeps entries for a while and not for ever.
+// TestRecentMap checks that entries are kept for the minimum retention and
+// that the map stays bounded.
 func TestRecentMap(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	rec := newRecentMap[int, bool]()
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Reduce takes events in and returns what is to be done.
+// Reduce applies events in order and returns the effects to perform.
 func (sta *State) Reduce(now time.Time, events []Event) (effects []Effect) {
 	sta.now = now
 	sta.effects = nil
@@ -68,7 +68,8 @@
 	}
 }
 
-// handleAdvice takes in what concerns the advisor, and other events.
+// handleAdvice applies events of the advisor and of the store, and passes
+// others on.
 func (sta *State) handleAdvice(evt Event) {
 	switch evt := evt.(type) {
 	case AdvisorAnswered:
@@ -84,7 +85,8 @@
 	}
 }
 
-// handleAnswer takes in what VMs answered. Answers of former lives are void.
+// handleAnswer applies answers of VMs. Answers of earlier incarnations are
+// ignored.
 func (sta *State) handleAnswer(evt Event) {
 	switch evt := evt.(type) {
 	case PollAnswered:
@@ -108,12 +110,13 @@
 	}
 }
 
+// stepDown ends the tenure. Later events are ignored.
 func (sta *State) stepDown(reason string) {
 	sta.steppedDown = true
 	sta.emit(StepDown{Reason: reason})
 }
 
-// indexHosts sorts the hosts, and into their pools.
+// indexHosts rebuilds the sorted lists of hosts, overall and by pool.
 func (sta *State) indexHosts() {
 	pools := make(map[string][]*host, len(sta.pools))
 	sta.hostList = make([]*host, 0, len(sta.hosts))
--- a/internal/core/scheduler/save.go
+++ b/internal/core/scheduler/save.go
@@ -9,25 +9,26 @@
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 )
 
-// Times of writes.
+// Delays of writes to the store.
 const (
-	// saveDelay is how long the progress of a job that goes on waits for more.
+	// saveDelay is how long the progress of a job that goes on is collected
+	// before it is written.
 	saveDelay = 90 * time.Millisecond
-	// saveRetryDelay is the time between two tries of a write that failed.
+	// saveRetryDelay is the time between two attempts of a write that failed.
 	saveRetryDelay = 60 * time.Millisecond
 )
 
-// reservedEntries is the number of entries of a transaction that the runner
-// adds: the condition that this process still holds the duty.
+// reservedEntries is the number of transaction entries that the caller of
+// Reduce adds: the condition that this process still holds the duty.
 const reservedEntries = 1
 
-// Entries of a transaction that a job takes.
+// Maximum number of transaction entries per job.
 const (
 	progressEntries = 2
 	finalEntries    = 6
 )
 
-// saveRecords writes what has to be stored, as much as a transaction holds.
+// saveRecords writes the unstored records, as many as fit into a transaction.
 func (sta *State) saveRecords() {
 	if sta.commit.inFlight || sta.now.Before(sta.commit.retryAt) {
 		return
@@ -84,7 +85,7 @@
 	return wri, true
 }
 
-// progress returns what must outlast the dispatcher.
+// progress returns the state of the tasks that the next dispatcher needs.
 func (liv *liveJob) progress() job.Progress {
 	var pro job.Progress
 	for num, occ := range liv.occs {
@@ -106,7 +107,7 @@
 	return pro
 }
 
-// committed takes in the answer to a write.
+// committed handles the answer to a write.
 func (sta *State) committed(evt Committed) {
 	writes, purged := sta.commit.jobs, sta.commit.purged
 	sta.commit = commit{}
@@ -130,6 +131,7 @@
 	}
 }
 
+// recordStored handles that a job's record has been stored.
 func (sta *State) recordStored(wri jobWrite, rev kv.Revision) {
 	for _, ack := range wri.acks {
 		sta.markAckable(ack.host, ack.number)
@@ -138,14 +140,15 @@
 	if !wri.final {
 		return
 	}
-	// Ends that came while the record was being written need no other one.
+	// Ends that arrived during the write of the final record need no further
+	// record.
 	for _, ack := range wri.liveJob.acks {
 		sta.markAckable(ack.host, ack.number)
 	}
 	sta.forgetJob(wri.liveJob)
 }
 
-// recordConflicted takes in that a write failed for a condition: a former write of
+// recordConflicted handles a failed condition of a write: an earlier write of
 // the same job, whose answer was lost, has taken effect.
 func (sta *State) recordConflicted(wri jobWrite, con *kv.ConflictError) {
 	id := wri.liveJob.spec.ID
@@ -157,13 +160,14 @@
 	sta.retryRecord(wri)
 }
 
-// retryRecord has a job stored again.
+// retryRecord schedules another write of a job's record.
 func (sta *State) retryRecord(wri jobWrite) {
 	wri.liveJob.acks = append(wri.acks, wri.liveJob.acks...)
 	wri.liveJob.dirtySince = sta.now.Add(-saveDelay)
 }
 
-// forgetJob removes a job that is stored as ended. Its runs are still stopped.
+// forgetJob removes a job that is stored as ended. Its remaining runs are
+// still stopped.
 func (sta *State) forgetJob(liv *liveJob) {
 	id := liv.spec.ID
 	delete(sta.jobs, id)
--- a/internal/core/scheduler/schedule_test.go
+++ b/internal/core/scheduler/schedule_test.go
@@ -14,11 +14,13 @@
 	"gotest.tools/v3/assert"
 )
 
+// sortItems sorts items by key.
 func sortItems(items []kv.Item) {
 	slices.SortFunc(items, func(one, oth kv.Item) int { return strings.Compare(one.Key, oth.Key) })
 }
 
-// testCatalog has one pool with a queue, and an account with a cap.
+// testCatalog returns a configuration with one pool, two queues and an account
+// with a cap.
 func testCatalog() catalog.Catalog {
 	return catalog.New(catalog.Catalog{
 		Version: 1, Revision: 1,
@@ -40,7 +42,7 @@
 
 func jobName(n int) job.ID { return job.ID(fmt.Sprintf("%016x", n)) }
 
-// fanOut is a job of two steps, the second after the first.
+// fanOut returns a job of two steps, the second of which depends on the first.
 func fanOut(n int, account string, width int, cpu int64, span time.Duration) job.Spec {
 	ste := job.Step{Count: width, Size: job.Size{CPU: cpu, Memory: 512}, Estimate: span}
 	next := ste
@@ -48,8 +50,8 @@
 	return job.Spec{ID: jobName(n), Queue: "gate", Account: account, Payload: "x", Steps: []job.Step{ste, next}}
 }
 
-// faultScenario plays half a minute of jobs with faults of every kind, and a calm
-// quarter of a minute after it.
+// faultScenario runs half a minute of jobs with faults of every kind, and then
+// continues without faults until 75 s.
 func faultScenario(seed uint64) *emulator {
 	emu := newEmulator(seed, testCatalog())
 	emu.catalog.Pools[0].EnforcesCapacity = seed%3 != 0
@@ -109,7 +111,8 @@
 	return emu
 }
 
-// vary makes some jobs gangs, some bounded on each VM and some due at times.
+// vary makes some jobs gangs, limits some per VM and schedules some in
+// occurrences.
 func (emu *emulator) vary(spe *job.Spec, number int) {
 	switch number % 7 {
 	case 1:
@@ -124,11 +127,11 @@
 	}
 }
 
-// TestFaultInjection plays many seeds. No task runs twice at once or after its end
-// was acknowledged, none starts before its step, beyond its account's cap, beyond
-// a VM's room or beyond its attempts,
-// no end is acknowledged before it is stored, jobs end as they truly did, and
-// none is lost.
+// TestFaultInjection checks the invariants under many seeds: No task has two
+// active runs or starts after its end was acknowledged. No task starts before
+// the steps that it depends on, or beyond its account's cap, its VM's capacity
+// or its attempts. No end is acknowledged before it is stored. Jobs end with
+// the right state, and none is lost.
 func TestFaultInjection(t *testing.T) {
 	seeds := uint64(150)
 	if testing.Short() {
@@ -146,43 +149,43 @@
 	}
 }
 
-// checkAccounting checks that the dispatcher holds what the VMs run, counts it once, and
-// has acknowledged all ends.
+// checkAccounting checks that the dispatcher's records match the runs on the
+// VMs and are counted once, and that all ends are acknowledged.
 func (emu *emulator) checkAccounting() {
 	usage := map[string]job.Size{}
 	for id := range emu.connected {
 		if emu.sched.hosts[id] == nil {
-			emu.fail("connections to %s are kept, which is gone", id)
+			emu.fail("connections to %s are still open after its end", id)
 		}
 	}
 	for _, hos := range emu.sched.hostList {
 		if vm := emu.vms[hos.vm.Address]; vm.vm.ID == hos.vm.ID && len(vm.ends) > 0 {
-			emu.fail("%s lists %d ends that are not acknowledged, the first is %v", hos.vm.ID, len(vm.ends), vm.ends[0])
+			emu.fail("%s lists %d unacknowledged ends, the first is %v", hos.vm.ID, len(vm.ends), vm.ends[0])
 		}
 		used := job.Size{}
 		for _, pla := range hos.runList {
 			used = used.Plus(pla.reserved)
 			usage[pla.account] = usage[pla.account].Plus(pla.size)
 			if hos.runs[pla.task] != pla {
-				emu.fail("%s holds run %d of %s beside another one", hos.vm.ID, pla.run, pla.task)
+				emu.fail("%s holds run %d of %s beside another run", hos.vm.ID, pla.run, pla.task)
 			}
 			if emu.vms[hos.vm.Address].runs[pla.task] == nil {
-				emu.fail("%s is thought to hold %s", hos.vm.ID, pla.task)
+				emu.fail("%s is recorded as holding %s, which does not run there", hos.vm.ID, pla.task)
 			}
 		}
 		if used != hos.used {
-			emu.fail("%s is thought to have %v in use, not %v", hos.vm.ID, hos.used, used)
+			emu.fail("%s is recorded as using %v, want %v", hos.vm.ID, hos.used, used)
 		}
 	}
 	for account, size := range emu.sched.usage {
 		if size != usage[account] {
-			emu.fail("account %s is thought to use %v, not %v", account, size, usage[account])
+			emu.fail("account %s is recorded as using %v, want %v", account, size, usage[account])
 		}
 	}
 }
 
-// TestUpkeepRelocatesSiblings has a step of which one task may be away and
-// two lie on one machine. They leave it one after the other.
+// TestUpkeepRelocatesSiblings checks that two tasks of a step of which only
+// one may be away leave a machine that is due for upkeep one after the other.
 func TestUpkeepRelocatesSiblings(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 2, 2, job.Size{CPU: 16_000, Memory: 32_768})
@@ -212,8 +215,8 @@
 	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
-// TestTakeoverAfterMoves takes the duty over while the registrations of lives
-// that moves have ended are still there. Jobs that wait start at once.
+// TestTakeoverAfterMoves checks that waiting jobs start immediately when a
+// dispatcher takes over while VMs that a move has ended are still registered.
 func TestTakeoverAfterMoves(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 3, 3, job.Size{CPU: 16_000, Memory: 32_768})
@@ -231,8 +234,8 @@
 	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
-// TestPendingWhileOrdersAreLost counts a job as pending until a VM has started
-// one of its tasks, not when one was ordered.
+// TestPendingWhileOrdersAreLost checks that a job counts as pending until a VM
+// has started one of its tasks, not from when a start was ordered.
 func TestPendingWhileOrdersAreLost(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 3, 3, job.Size{CPU: 16_000, Memory: 32_768})
@@ -248,8 +251,8 @@
 	assert.Equal(t, len(emu.finished), 1)
 }
 
-// pending returns how many jobs of a queue the dispatcher says have not begun; -1
-// if it doesn't know.
+// pending returns the dispatcher's number of pending jobs of a queue; -1 if it
+// is unknown.
 func (emu *emulator) pending(queue string) int {
 	loa, ok := emu.sched.Load()
 	if !ok {
@@ -258,8 +261,8 @@
 	return loa.Pending[queue]
 }
 
-// TestPendingAfterTakeover takes over while jobs wait. The new dispatcher tells no
-// number before it has loaded them.
+// TestPendingAfterTakeover checks that a dispatcher that takes over while jobs
+// wait reports no number of pending jobs before it has loaded them.
 func TestPendingAfterTakeover(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.takeOver(testOptions())
@@ -274,9 +277,9 @@
 	assert.Equal(t, emu.pending("gate"), 1)
 }
 
-// TestCancelWhileWatchIsSilent cancels a job whose second step is to come,
-// while the dispatcher hears nothing of the store and still holds its duty. The
-// step does not start.
+// TestCancelWhileWatchIsSilent checks that the second step of a job does not
+// start if the job is cancelled while the dispatcher still holds its duty but
+// receives nothing from the store.
 func TestCancelWhileWatchIsSilent(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 2, 2, job.Size{CPU: 16_000, Memory: 32_768})
--- a/internal/core/scheduler/stale_test.go
+++ b/internal/core/scheduler/stale_test.go
@@ -9,9 +9,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStaleRunOnVM takes over while two VMs list runs of the same task, of which
-// the newer one fails. The task does not start on the VM where the older one is
-// still being stopped, and the books are right once that has ended.
+// TestStaleRunOnVM checks that a task does not start on a VM where an older
+// run of it is still being stopped. After a takeover two VMs report runs of
+// the same task, of which the newer one fails. The accounting must be right
+// once the older run has ended.
 func TestStaleRunOnVM(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	opt := testOptions()
@@ -43,7 +44,7 @@
 	}})
 	reduce(lists(oth, 5))
 	reduce(lists(one, 3))
-	// VM 2 is in quarantine for a while, so that VM 1 would be chosen.
+	// VM 2 is in quarantine for a while, so VM 1 is the only candidate.
 	sta.hosts[oth.ID].failures = maxFailures + 2
 	reduce(PollAnswered{VM: oth, Sent: now, Report: worker.Report{Born: 1, Clock: time.Second, Ends: []worker.End{{Number: 1, Task: name, Run: 5, Kind: worker.EndFailed}}}})
 	reduce(Tick{})
--- a/internal/core/scheduler/state.go
+++ b/internal/core/scheduler/state.go
@@ -13,84 +13,92 @@
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 )
 
-// Options are fixed for the time of a duty.
+// Options are the parameters of a dispatcher. They do not change during a
+// tenure.
 type Options struct {
-	// Since is when the duty was taken, and Revision the store's revision then:
-	// what was stored later, no former dispatcher has started.
+	// Since is when the tenure began, and Revision the revision of the store at
+	// that time: no former dispatcher has started a job stored at a later
+	// revision.
 	Since    time.Time
 	Revision kv.Revision
-	// Term rises with each holder of the duty, from 1.
+	// Term is the fencing token of the tenure. It counts tenures from 1.
 	Term int64
-	// Lease is for how long a VM runs tasks without being looked at.
+	// Lease is how long a VM keeps tasks running after the last poll that
+	// extended its lease.
 	Lease time.Duration
-	// StopTime is how long a task takes to stop.
+	// StopTime is the time a task takes to stop.
 	StopTime time.Duration
-	// UpkeepTime is how long a machine is away for its upkeep.
+	// UpkeepTime is the time a machine is down for its upkeep.
 	UpkeepTime time.Duration
-	// ShareWindow is over what time an account's rate of jobs is averaged.
+	// ShareWindow is the window over which an account's job rate is averaged.
 	ShareWindow time.Duration
-	// KeepEnded is how long callers may ask for a job that has ended.
+	// KeepEnded is the retention time of records of ended jobs, during which
+	// callers may query them.
 	KeepEnded time.Duration
-	// MachineOrdersPerSecond is how many orders for machines the platform takes.
+	// MachineOrdersPerSecond is the platform's rate limit for machine orders,
+	// which are moves and upkeep.
 	MachineOrdersPerSecond float64
 }
 
-// runsPerTerm is how far the run numbers of two terms are apart at least, so
-// that a dispatcher that doesn't know the last run of its predecessor uses a
+// runsPerTerm is the minimum distance between the run numbers of two terms. A
+// dispatcher that does not know the last run of its predecessor still uses a
 // higher one.
 const runsPerTerm = 1000
 
-// phase is where a task stands.
+// phase is the state of a task.
 type phase int
 
 const (
-	// phaseWaiting tasks have no run.
+	// phaseWaiting is the phase of a task without a run.
 	phaseWaiting phase = iota
-	// phasePlaced tasks have a run that may be running on a VM.
+	// phasePlaced is the phase of a task with a run that may be active on a VM.
 	phasePlaced
 	phaseDone
 )
 
+// task is the state of a task of a stage.
 type task struct {
 	phase phase
-	// run is the highest run that was ordered or seen.
+	// run is the highest run number that was ordered or reported.
 	run int
-	// failedRuns lists the runs that ended failed. VMs are heard in any order, so
-	// that a lower run may come after a higher one.
+	// failedRuns lists the runs that failed. VMs report in any order, so a lower
+	// run may be reported after a higher one.
 	failedRuns []int
 	checkpoint string
-	// host is set while the phase is phaseHeld.
+	// host is the host of the task's run; nil unless the phase is phasePlaced.
 	host *host
-	// notBefore delays the next start after an order was refused.
+	// notBefore is the earliest time of the next start after an order was
+	// refused.
 	notBefore time.Time
 }
 
-// stage is a step of one occurrence.
+// stage is one step of one occurrence of a job.
 type stage struct {
 	liveJob *liveJob
 	occ     int
 	index   int
 	step    *job.Step
 	tasks   []task
-	// blockers is how many steps must end before this one.
+	// blockers is the number of steps that must end before this one starts.
 	blockers int
-	// waiting and left count the tasks without a run, and those not done.
+	// waiting counts the tasks without a run, left those that are not done.
 	waiting, left int
 	advice        advice
 }
 
-// task names a task of the stage.
+// task returns the name of the stage's task with an index.
 func (stg *stage) task(index int) job.Task {
 	return job.Task{Job: stg.liveJob.spec.ID, Occurrence: stg.occ, Step: stg.index, Index: index}
 }
 
+// occurrence is one execution of the steps of a job.
 type occurrence struct {
 	stages []stage
 	// left counts the stages that are not done.
 	left int
 }
 
-// liveJob is a job that hasn't ended.
+// liveJob is a job that has not ended.
 type liveJob struct {
 	spec     job.Spec
 	revision kv.Revision
@@ -100,133 +108,149 @@
 	occsLeft int
 	deadline time.Time
 	work     float64
-	// pool is the one that ran the queue's tasks when the queue was last known.
+	// pool is the pool of the job's queue, as last configured. It is kept when
+	// the queue is removed from the configuration.
 	pool      string
 	cancelled bool
-	// begun says that some task has started.
+	// begun reports whether a task of the job has started.
 	begun bool
-	// excess says that it lies beyond what its account is entitled to.
+	// excess reports whether the job exceeds its account's allowance.
 	excess bool
-	// final is the state to be stored, once it is known.
+	// final is the state in which the job ended; empty while it goes on.
 	final job.State
-	// dirtySince is when something changed that is not stored yet; zero if all
-	// is stored.
+	// dirtySince is the time of the first change that is not stored; zero if
+	// everything is.
 	dirtySince  time.Time
 	progressRev kv.Revision
-	// acks lists the ends that are stored with the job's next record.
+	// acks lists the ends to acknowledge once the job's next record is stored.
 	acks []ack
-	// restored says that a former dispatcher may have started its tasks.
+	// restored reports whether a former dispatcher may have started tasks of the
+	// job.
 	restored bool
 }
 
-// ack names an end that a VM listed.
+// ack identifies an end that a VM reported.
 type ack struct {
 	host   *host
 	number int64
 }
 
-// runState is what is known of a run on a VM.
+// runState is the state of a run on a VM, as far as the dispatcher knows it.
 type runState int
 
 const (
-	// runOrdered runs have been ordered; no answer came yet.
+	// runOrdered is the state of a run whose start was ordered and not yet
+	// answered.
 	runOrdered runState = iota
-	// runUnknown runs were ordered, and the answer was lost.
+	// runUnknown is the state of a run whose start was ordered and not answered
+	// in time.
 	runUnknown
 	runRunning
-	// runStopping runs are to be stopped; the VM may not have answered yet.
+	// runStopping is the state of a run that is to be stopped; the VM may not
+	// have answered yet.
 	runStopping
-	// runRejected runs have been stopped before they came, or have ended.
+	// runRejected is the state of a run that the VM has stopped or will reject
+	// if its start arrives later.
 	runRejected
 )
 
-// placement is a run that may be running on a VM. It takes room.
+// placement is a run that may be active on a VM. It occupies room there until
+// the run is known to be over.
 type placement struct {
-	task     job.Task
-	run      int
+	task job.Task
+	run  int
+	// reserved is the room that the run occupies on the VM. size counts against
+	// the cap of its account.
 	reserved job.Size
 	size     job.Size
 	account  string
 	state    runState
-	// stage is nil for runs of jobs that are not known.
+	// stage is nil for a run of an unknown job.
 	stage *stage
-	// since is when the state was entered.
+	// since is when the run entered its state.
 	since time.Time
-	// percent and load are as in worker.Running.
+	// percent and load are the values of worker.Running.
 	percent int
 	load    int64
-	// pace is the share of its speed that it was last ordered, in percent.
+	// pace is the pace that the VM last confirmed, as a percentage of full
+	// speed.
 	pace         int
 	paceInFlight bool
 	checkpoint   string
-	// stopSent is when a stop was last sent; stopBusy says that its answer is
-	// awaited.
+	// stopSent is when a stop was last sent. stopInFlight reports whether its
+	// answer is outstanding.
 	stopSent     time.Time
 	stopInFlight bool
 }
 
-// host is one life of a VM with what may be running there.
+// host is the scheduler's record of a VM and of the runs that may be active
+// there.
 type host struct {
 	vm worker.VM
-	// firstSeen is when the registration was first seen.
+	// firstSeen is when the VM's registration was first received.
 	firstSeen time.Time
-	// fenced says that the VM has answered a look of this term.
+	// fenced reports whether the VM has answered a poll of this term.
 	fenced bool
-	// clock is the VM's clock at clockAt.
+	// clock is the VM's clock at the time clockAt.
 	clock   time.Duration
 	clockAt time.Time
 	runs    map[job.Task]*placement
-	// runList holds the runs in the order in which they were noted.
+	// runList holds the runs in the order in which they were recorded.
 	runList []*placement
 	used    job.Size
-	// leaseExpiry is when everything there has surely ended, unless it is looked at
-	// again.
+	// leaseExpiry is when all runs on the VM are guaranteed to have ended,
+	// unless a poll extends the lease.
 	leaseExpiry time.Time
-	// pollInFlight says that the answer to a look is awaited.
+	// pollInFlight reports whether the answer to a poll is outstanding.
 	pollInFlight bool
 	lastPoll     time.Time
 	nextPoll     time.Time
-	// failedPolls counts the looks without an answer since the last one.
+	// failedPolls counts the consecutive polls without an answer.
 	failedPolls int
-	// seen is the highest end that was taken in; acked the highest up to which
-	// all ends are stored; stored holds those above it that are.
+	// seen is the highest end number that was processed. acked is the number up
+	// to which all ends may be acknowledged. stored holds the higher ends that
+	// may be acknowledged too.
 	seen, acked int64
 	stored      map[int64]bool
-	// ackDue says that acked is higher than the last look told.
+	// ackDue reports whether acked has risen since the last poll.
 	ackDue bool
-	// reportDue says that the VM holds something else than is known here, since
-	// it refused a task that should fit.
+	// reportDue reports whether the VM's runs differ from the recorded ones: it
+	// refused a task that should fit.
 	reportDue bool
-	// unregistered says that the registration is gone.
+	// unregistered reports whether the VM's registration is gone.
 	unregistered bool
-	// cordoned says that the machine goes down soon and gets no new tasks.
+	// cordoned reports whether the machine is due for upkeep and gets no new
+	// tasks.
 	cordoned bool
-	// goingDown says that the machine's upkeep or move has been ordered.
+	// goingDown reports whether the upkeep or the move of the machine has been
+	// ordered.
 	goingDown bool
-	// downAnswered is when the order's answer came. The list of machines tells
-	// whether it had an effect: an order that was carried out before has none.
+	// downAnswered is when that order was answered. Only the list of machines
+	// shows whether it had an effect: an order that was carried out before has
+	// none.
 	downAnswered time.Time
-	// quarantinedUntil is until when it gets no new tasks, for it failed some.
+	// quarantinedUntil is when the VM gets new tasks again after failed runs or
+	// a refused order.
 	quarantinedUntil time.Time
-	// idleSince is when the last run there was over.
+	// idleSince is when the last run was released.
 	idleSince time.Time
 	failures  int
-	// pace is that of the tasks that fill.
+	// pace controls the pace of the best-effort tasks on the VM.
 	pace pace.Control
 }
 
-// usable reports whether new tasks may start there.
+// usable reports whether new tasks may start on the VM.
 func (hos *host) usable(now time.Time) bool {
 	return hos.fenced && !hos.unregistered && !hos.vm.Leaving && !hos.cordoned && !hos.goingDown && hos.failedPolls == 0 && !now.Before(hos.quarantinedUntil) && !hos.hasOrphanRuns()
 }
 
-// hasOrphanRuns reports whether the VM holds runs of jobs that are not known.
-// The room that they take is not known either.
+// hasOrphanRuns reports whether the VM holds runs of unknown jobs. The room
+// that they occupy is unknown too.
 func (hos *host) hasOrphanRuns() bool {
 	return slices.ContainsFunc(hos.runList, func(pla *placement) bool { return pla.stage == nil })
 }
 
-// State is what the dispatcher knows. It belongs to one goroutine.
+// State is the state of the dispatcher. It is not safe for concurrent use.
 type State struct {
 	opt      Options
 	now      time.Time
@@ -234,99 +258,105 @@
 	catalog  catalog.Catalog
 	zonesOut map[string]bool
 	jobs     map[job.ID]*liveJob
-	// jobList holds the jobs in the order in which they were taken in.
+	// jobList holds the jobs in the order in which they were accepted.
 	jobList []*liveJob
 	hosts   map[string]*host
 	// hostList holds the hosts in the order of their IDs.
 	hostList []*host
 	// pools holds the hosts of each pool in the order of their IDs.
 	pools map[string][]*host
-	// usage is what each client account may have running, allowances what each is
-	// entitled to submit yet.
+	// usage is the size of the active runs by client account. allowances holds
+	// the accounts' token buckets for new jobs.
 	usage      map[string]job.Size
 	allowances map[string]allowance.Bucket
 	machines   machines
 	waves      map[int64]*wave
 	commit     commit
 	loaded     bool
-	// jobsSyncedAt is up to when changes of jobs are known.
+	// jobsSyncedAt is the time up to which all changes of jobs have been
+	// received.
 	jobsSyncedAt time.Time
-	// ended remembers jobs that are stored as ended, so that an event that comes
-	// late doesn't bring them back.
+	// ended holds the jobs that were recently stored as ended, so that a delayed
+	// event does not bring them back.
 	ended *recentMap[job.ID, bool]
-	// endedJobs holds the jobs that are stored as ended, by their end.
+	// endedJobs lists the records of ended jobs that are stored, oldest first.
 	endedJobs []EndedJob
-	// lostVMs holds the lives of VMs that have ended, by ID: their registrations
-	// last for some seconds more.
+	// lostVMs holds the VMs that ended recently, by ID. Their registrations last
+	// some seconds longer.
 	lostVMs *recentMap[string, worker.VM]
-	// runtimeRatios holds, by queue, how run times compare with the estimates.
+	// runtimeRatios holds, by queue, the ratio of actual to estimated run times.
 	runtimeRatios map[string]*runtimeRatio
 	steppedDown   bool
-	// machineNames are those of the list of machines, sorted.
+	// machineNames holds the sorted names of the listed machines.
 	machineNames []string
 	demands      map[string]*demand
-	// totalDemand is what all pools want together.
+	// totalDemand is the demand of all pools together.
 	totalDemand demand
-	// moves holds the machines on their way to another pool; fleetAt is when the
-	// moves were last planned.
+	// moves holds the machines that are moving to another pool. movesPlannedAt
+	// is when moves were last planned.
 	moves          map[string]pendingMove
 	movesPlannedAt time.Time
-	// poolsLoggedAt is when the log was last told of the pools.
+	// poolsLoggedAt is when the state of the pools was last logged.
 	poolsLoggedAt time.Time
-	// advisorSlots is how many questions may be put to the advisor at once, advisorInFlight how
-	// many wait for their answer. questions are those noted in this round.
+	// advisorSlots is the maximum number of concurrent queries to the advisor,
+	// and advisorInFlight the number of unanswered ones. advisorQueue holds the
+	// queries collected in this call of Reduce.
 	advisorSlots, advisorInFlight int
 	advisorQueue                  []advisorQuery
-	// forbiddenMoves holds the moves that the platform doesn't allow, as machine and
-	// pool.
+	// forbiddenMoves holds the moves that the platform does not allow, as
+	// machine and pool.
 	forbiddenMoves map[string]bool
 }
 
-// machines is the list of machines as last read.
+// machines is the last list of machines.
 type machines struct {
 	byName map[string]worker.Machine
 	byVM   map[string]string
-	// requestedAt is when the last list was requestedAt for; listed is when the list that is
-	// known was requestedAt for.
+	// requestedAt is when a list was last requested. listed is when the last
+	// list received was requested.
 	requestedAt, listed time.Time
 	inFlight            bool
-	// refreshDue says that an order's effect waits for the next list.
+	// refreshDue reports whether a new list is needed to see the effect of an
+	// order.
 	refreshDue bool
 }
 
-// wave is a plan with the orders under way.
+// wave is the plan of a wave of upkeep with its outstanding orders.
 type wave struct {
 	plan upkeep.Plan
-	// down holds machines whose upkeep was ordered, with the ID of the VM that
-	// it ended and the time of the order.
+	// down holds the machines whose upkeep was ordered, with the VM that it
+	// ended and the time of the answer.
 	down map[string]downMachine
-	// ordered holds machines whose answer is awaited.
+	// ordered holds the machines whose upkeep order is unanswered.
 	ordered map[string]bool
-	// completed says that all of it has begun.
+	// completed reports whether the upkeep of all machines has begun.
 	completed bool
 }
 
+// downMachine is a machine that is down for upkeep, with the VM that the
+// upkeep ended.
 type downMachine struct {
 	vm    string
 	since time.Time
 }
 
-// commit is the write under way.
+// commit is the write to the store that is in flight.
 type commit struct {
 	inFlight bool
 	retryAt  time.Time
 	jobs     []jobWrite
-	// purged counts the records of ended jobs that it removes.
+	// purged is the number of records of ended jobs that the write removes.
 	purged int
 }
 
+// jobWrite is the part of a write that concerns a job.
 type jobWrite struct {
 	liveJob *liveJob
 	acks    []ack
 	final   bool
 }
 
-// New returns the state of a dispatcher that has just taken the duty.
+// New returns the state of a dispatcher whose tenure has just begun.
 func New(opt Options) *State {
 	return &State{
 		opt: opt, jobsSyncedAt: opt.Since, zonesOut: map[string]bool{}, jobs: map[job.ID]*liveJob{}, hosts: map[string]*host{},
@@ -337,19 +367,21 @@
 	}
 }
 
+// emit adds an effect to the result of Reduce.
 func (sta *State) emit(eff Effect) { sta.effects = append(sta.effects, eff) }
 
+// logDecision emits a decision for the log. id is empty if it concerns no job.
 func (sta *State) logDecision(name string, id job.ID, fields map[string]any) {
 	sta.emit(LogDecision{Name: name, Job: id, Fields: fields})
 }
 
-// runtimeRatio learns how run times compare with the estimates.
+// runtimeRatio averages the ratio of actual to estimated run times.
 type runtimeRatio struct {
 	mean  float64
 	count int
 }
 
-// minSampleWeight is the weight of a new run once several have been seen.
+// minSampleWeight is the weight of a new sample once there are enough of them.
 const minSampleWeight = 0.05
 
 func (rat *runtimeRatio) add(val float64) {
@@ -357,7 +389,7 @@
 	rat.mean += (val - rat.mean) * max(minSampleWeight, 1/float64(rat.count))
 }
 
-// factor returns the mean, or 1 if nothing has been learned.
+// factor returns the average, or 1 without samples.
 func (rat *runtimeRatio) factor() float64 {
 	if rat == nil || rat.count == 0 {
 		return 1
--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -9,17 +9,17 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/worker"
 )
 
-// Times of the list of machines.
+// Intervals between requests of the list of machines.
 const (
-	// listInterval is the time between two lists while something waits for them.
+	// listInterval is the interval while the scheduler waits for a change.
 	listInterval = 500 * time.Millisecond
-	// listDelayAfterOrder is that time after an order for a machine.
+	// listDelayAfterOrder is the interval after a machine order.
 	listDelayAfterOrder = 60 * time.Millisecond
-	// idleListInterval is that time while nothing does.
+	// idleListInterval is the interval while nothing is expected to change.
 	idleListInterval = 10 * time.Second
 )
 
-// waveRequested takes in a wave.
+// waveRequested adds a wave and saves its state.
 func (sta *State) waveRequested(evt WaveRequested) {
 	if wav := sta.waves[evt.Wave.Number]; wav != nil {
 		return
@@ -49,6 +49,7 @@
 	}
 }
 
+// planWave orders the upkeep that is due in one wave.
 func (sta *State) planWave(number int64, wav *wave) {
 	exists := func(name string) bool { _, ok := sta.machines.byName[name]; return ok }
 	if wav.plan.Completed(exists) && len(wav.ordered) == 0 {
@@ -67,17 +68,17 @@
 		}
 		cans = append(cans, sta.candidate(name))
 	}
-	stp := wav.plan.Next(sta.now, cans, sta.countDown(wav)+len(wav.ordered), sta.opt.UpkeepTime)
-	for _, name := range stp.Cordon {
+	act := wav.plan.Next(sta.now, cans, sta.countMachinesDown(wav)+len(wav.ordered), sta.opt.UpkeepTime)
+	for _, name := range act.Cordon {
 		if hos := sta.hosts[sta.machines.byName[name].VM]; hos != nil {
 			hos.cordoned = true
 		}
 	}
-	for _, name := range stp.Relocate {
+	for _, name := range act.Relocate {
 		sta.relocate(name)
 	}
-	for _, name := range stp.Begin {
-		// Machines that go down before it in this round may hold tasks of the same
+	for _, name := range act.Begin {
+		// Machines ordered down earlier in this loop may hold tasks of the same
 		// step.
 		if sta.candidate(name).ExceedsBudget() {
 			continue
@@ -91,14 +92,15 @@
 	}
 }
 
-// machineOrderDelay is how long a dispatcher keeps apart from the orders for machines
-// of a former one, which stopped to send them before its lease ended. Machines
-// do not tell terms apart.
+// machineOrderDelay is how long after the start of its tenure a dispatcher
+// gives no machine orders. The former dispatcher stopped sending them before
+// its lease ended, but some may still be in transit, and machines do not check
+// terms.
 const machineOrderDelay = 600 * time.Millisecond
 
-// mayOrderMachines reports whether orders for machines may be given.
-// After a takeover they wait for a list of machines that shows what the former
-// dispatcher ordered last.
+// mayOrderMachines reports whether machine orders may be given. After a
+// takeover they wait for a list of machines that shows the last orders of the
+// former dispatcher.
 func (sta *State) mayOrderMachines() bool {
 	if sta.opt.Term == 1 {
 		return true
@@ -110,6 +112,7 @@
 	return true
 }
 
+// begun returns the sorted names of the machines whose upkeep has begun.
 func (wav *wave) begun() (names []string) {
 	for name := range wav.plan.Begun {
 		names = append(names, name)
@@ -118,10 +121,10 @@
 	return names
 }
 
-// countDown returns how many machines of a wave are down for upkeep: those that the
-// list shows so, and those ordered since. A machine is back once the list shows
-// it up with another VM.
-func (sta *State) countDown(wav *wave) int {
+// countMachinesDown returns the number of a wave's machines that are down for
+// upkeep: those listed as such and those ordered since. A machine is up again
+// once it is listed as up with another VM.
+func (sta *State) countMachinesDown(wav *wave) int {
 	for name, dow := range wav.down {
 		mac, ok := sta.machines.byName[name]
 		back := mac.State == worker.MachineUp && mac.VM != dow.vm
@@ -139,7 +142,7 @@
 	return n
 }
 
-// candidate describes a machine that a wave may take down.
+// candidate returns the description of a machine for the plan of a wave.
 func (sta *State) candidate(name string) upkeep.Candidate {
 	mac := sta.machines.byName[name]
 	hos := sta.hosts[mac.VM]
@@ -185,8 +188,8 @@
 	return can
 }
 
-// relocate stops one task that lasts of each step that has more of them on a
-// machine than may be away at once. It starts again on another machine.
+// relocate stops, for each long-running step with more tasks on a machine than
+// may be away at once, one of these tasks. It starts again on another machine.
 func (sta *State) relocate(name string) {
 	hos := sta.hosts[sta.machines.byName[name].VM]
 	done := map[*stage]bool{}
@@ -205,10 +208,10 @@
 	}
 }
 
-// working reports whether the run is at work and has not been told to stop.
+// working reports whether the run is at work and not being stopped.
 func (pla *placement) working() bool { return pla.state == runRunning && pla.percent >= percentWorking }
 
-// working counts the tasks of a stage that are at work on a VM.
+// working returns the number of a stage's tasks that are at work on the host.
 func (hos *host) working(stg *stage) int {
 	n := 0
 	for _, pla := range hos.runList {
@@ -219,11 +222,13 @@
 	return n
 }
 
-// percentWorking is the percent of a task that lasts and is at work.
+// percentWorking is the progress that a long-running task reports when it is
+// at work.
 const percentWorking = 100
 
-// countUnavailable returns how many tasks of a stage that lasts are not at work. Those that
-// are at work on one VM are left out.
+// countUnavailable returns the number of tasks of a long-running stage that
+// are not at work. Tasks at work on the host except are not counted, even if
+// that host is going down.
 func (stg *stage) countUnavailable(except *host) int {
 	n := 0
 	for i := range stg.tasks {
@@ -248,7 +253,7 @@
 	return n
 }
 
-// machineAnswered takes in the answer to an order for a machine.
+// machineAnswered handles the answer to a machine order.
 func (sta *State) machineAnswered(evt MachineAnswered) {
 	sta.logDecision("machine_answered", "", map[string]any{"machine": evt.Machine, "wave": evt.Wave, "result": evt.Result.String()})
 	if evt.Wave == 0 {
@@ -280,8 +285,8 @@
 	}
 }
 
-// machineOrderFailed takes in that an order for a host's machine was not carried out,
-// as far as is known.
+// machineOrderFailed handles that an order for a host's machine was refused or
+// is unanswered.
 func (sta *State) machineOrderFailed(hos *host, res worker.MachineResult) {
 	if res == worker.MachineUnknown {
 		hos.downAnswered = sta.now
@@ -291,7 +296,7 @@
 	hos.goingDown = false
 }
 
-// machinesListed takes in the list of machines. It tells which lives have
+// machinesListed applies the list of machines, which shows the VMs that have
 // ended.
 func (sta *State) machinesListed(evt MachinesListed) {
 	sta.machines.inFlight = false
@@ -313,8 +318,8 @@
 	}
 }
 
-// applyListing takes in what a list of machines that was asked for at a time says
-// of a host.
+// applyListing updates a host from a list of machines that was requested at a
+// given time.
 func (sta *State) applyListing(hos *host, requestedAt time.Time) {
 	name, ok := sta.machines.byVM[hos.vm.ID]
 	mac := sta.machines.byName[name]
@@ -328,16 +333,16 @@
 			delete(wav.down, name)
 		}
 	case ordered:
-		sta.removeHost(hos, "its machine went down as ordered")
+		sta.removeHost(hos, "the machine went down as ordered")
 	case (!ok || mac.State != worker.MachineUp) && !hos.fenced && !requestedAt.Before(hos.firstSeen):
-		// Registrations outlast the life of a VM by some seconds.
-		sta.removeHost(hos, "no machine has this life any more")
+		// Registrations outlast a VM by some seconds.
+		sta.removeHost(hos, "no listed machine runs this VM")
 	case hos.failedPolls > 0 && (!ok || mac.State == worker.MachineDown):
-		sta.removeHost(hos, "the list of machines says that it is down")
+		sta.removeHost(hos, "its machine is down or not listed")
 	}
 }
 
-// listMachines asks for the list of machines while something waits for it.
+// listMachines requests the list of machines if it is due.
 func (sta *State) listMachines() {
 	pause := idleListInterval
 	if sta.formerLeasesMayHold() && sta.machines.listed.Before(sta.opt.Since) {
