--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -251,12 +251,26 @@
 	return next
 }
 
+// timerNames holds the metric names of event types that differ from the name of
+// the type, so that renaming a type leaves its metric as it was.
+var timerNames = map[reflect.Type]string{
+	reflect.TypeFor[event.PeerSaid]():      "peersaid",
+	reflect.TypeFor[event.TaskAsked]():     "taskasked",
+	reflect.TypeFor[event.OperatorAsked](): "operatorasked",
+	reflect.TypeFor[event.StatusAsked]():   "statusasked",
+	reflect.TypeFor[event.ShutdownAsked](): "shutdownasked",
+}
+
 // timerOf returns the metric of an event's type. Only the loop calls it.
 func (rnr *Runner) timerOf(evt event.Event) metrics.Timer {
 	kind := reflect.TypeOf(evt)
 	timer, ok := rnr.timers[kind]
 	if !ok {
-		timer = metrics.GetOrRegisterTimer("reducer."+strings.ToLower(kind.Name()), rnr.registry)
+		name, renamed := timerNames[kind]
+		if !renamed {
+			name = strings.ToLower(kind.Name())
+		}
+		timer = metrics.GetOrRegisterTimer("reducer."+name, rnr.registry)
 		rnr.timers[kind] = timer
 	}
 	return timer
