--- a/internal/core/entry/driver_test.go
+++ b/internal/core/entry/driver_test.go
@@ -320,7 +320,7 @@
 		}
 		drv.after(at.Sub(drv.now), func() {
 			if !from.cut[to] {
-				drv.feed(target, event.PeerSaid{Member: from.id, Message: msg})
+				drv.feed(target, event.MessageReceived{Member: from.id, Message: msg})
 			}
 		})
 	}
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -47,7 +47,7 @@
 		stp.peerUp(evt)
 	case event.PeerDown:
 		stp.peerDown(evt)
-	case event.PeerSaid:
+	case event.MessageReceived:
 		stp.peerSaid(evt.Member, evt.Message)
 	case event.StoreAnswered:
 		stp.storeAnswered(evt)
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -149,8 +149,8 @@
 // lost.
 type PeerDown struct{ Member string }
 
-// PeerSaid is a message of a member.
-type PeerSaid struct {
+// MessageReceived is a message of a member.
+type MessageReceived struct {
 	Member  string
 	Message message.Message
 }
@@ -204,7 +204,7 @@
 func (WorkerReported) isEvent()   {}
 func (PeerUp) isEvent()           {}
 func (PeerDown) isEvent()         {}
-func (PeerSaid) isEvent()         {}
+func (MessageReceived) isEvent()  {}
 func (StoreAnswered) isEvent()    {}
 func (StoreChanged) isEvent()     {}
 func (FleetListed) isEvent()      {}
--- a/internal/peerlink/incoming.go
+++ b/internal/peerlink/incoming.go
@@ -91,6 +91,6 @@
 		if !current {
 			return errors.New("a newer connection took this one's place")
 		}
-		lks.post(event.PeerSaid{Member: from, Message: msg})
+		lks.post(event.MessageReceived{Member: from, Message: msg})
 	}
 }
--- a/internal/peerlink/links_test.go
+++ b/internal/peerlink/links_test.go
@@ -76,7 +76,7 @@
 
 func isUp(evt event.Event) bool   { _, ok := evt.(event.PeerUp); return ok }
 func isDown(evt event.Event) bool { _, ok := evt.(event.PeerDown); return ok }
-func isSaid(evt event.Event) bool { _, ok := evt.(event.PeerSaid); return ok }
+func isSaid(evt event.Event) bool { _, ok := evt.(event.MessageReceived); return ok }
 
 func TestMessagesTravelBothWaysThoughOneSideDials(t *testing.T) {
 	a, b := newEnd(t, "a", "r"), newEnd(t, "b", "r")
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -254,11 +254,11 @@
 // timerNames holds the metric names of event types that differ from the name of
 // the type, so that renaming a type leaves its metric as it was.
 var timerNames = map[reflect.Type]string{
-	reflect.TypeFor[event.PeerSaid]():      "peersaid",
-	reflect.TypeFor[event.TaskAsked]():     "taskasked",
-	reflect.TypeFor[event.OperatorAsked](): "operatorasked",
-	reflect.TypeFor[event.StatusAsked]():   "statusasked",
-	reflect.TypeFor[event.ShutdownAsked](): "shutdownasked",
+	reflect.TypeFor[event.MessageReceived](): "peersaid",
+	reflect.TypeFor[event.TaskAsked]():       "taskasked",
+	reflect.TypeFor[event.OperatorAsked]():   "operatorasked",
+	reflect.TypeFor[event.StatusAsked]():     "statusasked",
+	reflect.TypeFor[event.ShutdownAsked]():   "shutdownasked",
 }
 
 // timerOf returns the metric of an event's type. Only the loop calls it.
