--- a/internal/core/entry/asks.go
+++ b/internal/core/entry/asks.go
@@ -50,7 +50,7 @@
 	return ok && asker == team
 }
 
-func (stp *step) taskAsked(evt event.TaskAsked) {
+func (stp *step) taskAsked(evt event.TaskQueried) {
 	if rec, ok := stp.st.log.Kept(evt.TaskID); ok {
 		stp.tellTask(evt.Request, evt.KeyHash, rec.Status())
 		return
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -81,7 +81,7 @@
 		stp.attemptEnded(evt)
 	case event.TaskSubmitted:
 		stp.taskSubmitted(evt)
-	case event.TaskAsked:
+	case event.TaskQueried:
 		stp.taskAsked(evt)
 	case event.TaskCancelled:
 		stp.taskCancelled(evt)
--- a/internal/core/entry/worker_test.go
+++ b/internal/core/entry/worker_test.go
@@ -136,5 +136,5 @@
 func (drv *driver) askTask(nod *node, name, team, taskID string) {
 	nod.next++
 	nod.requests[nod.next] = name
-	drv.feed(nod, event.TaskAsked{Request: nod.next, TaskID: taskID, KeyHash: key.Hash(secretOf(team))})
+	drv.feed(nod, event.TaskQueried{Request: nod.next, TaskID: taskID, KeyHash: key.Hash(secretOf(team))})
 }
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -84,8 +84,8 @@
 	Payload []byte
 }
 
-// TaskAsked is a caller's question for a task.
-type TaskAsked struct {
+// TaskQueried is a caller's question for a task.
+type TaskQueried struct {
 	Request uint64
 	TaskID  string
 	KeyHash string
@@ -198,7 +198,7 @@
 func (RequestCancelled) isEvent() {}
 func (AttemptEnded) isEvent()     {}
 func (TaskSubmitted) isEvent()    {}
-func (TaskAsked) isEvent()        {}
+func (TaskQueried) isEvent()      {}
 func (TaskCancelled) isEvent()    {}
 func (TaskStartEnded) isEvent()   {}
 func (WorkerReported) isEvent()   {}
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -140,7 +140,7 @@
 
 func (rnr *Runner) serveTask(wrt http.ResponseWriter, req *http.Request) {
 	exc := rnr.exchanges.Open(exchange.Request{})
-	rnr.Post(event.TaskAsked{Request: exc.ID, TaskID: req.PathValue("task"), KeyHash: keyHash(req)})
+	rnr.Post(event.TaskQueried{Request: exc.ID, TaskID: req.PathValue("task"), KeyHash: keyHash(req)})
 	rnr.await(wrt, req, exc)
 }
 
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -255,7 +255,7 @@
 // the type, so that renaming a type leaves its metric as it was.
 var timerNames = map[reflect.Type]string{
 	reflect.TypeFor[event.MessageReceived](): "peersaid",
-	reflect.TypeFor[event.TaskAsked]():       "taskasked",
+	reflect.TypeFor[event.TaskQueried]():     "taskasked",
 	reflect.TypeFor[event.OperatorAsked]():   "operatorasked",
 	reflect.TypeFor[event.StatusAsked]():     "statusasked",
 	reflect.TypeFor[event.ShutdownAsked]():   "shutdownasked",
--- a/internal/runner/timer_test.go
+++ b/internal/runner/timer_test.go
@@ -21,7 +21,7 @@
 	event.AcceptingStopped{}, event.AttemptEnded{}, event.FleetListed{}, event.MembersGone{}, event.OperatorAsked{},
 	event.PeerDown{}, event.MessageReceived{}, event.PeerUp{}, event.RequestArrived{}, event.RequestCancelled{},
 	event.ShutdownAsked{}, event.Started{}, event.StatusAsked{}, event.StoreAnswered{}, event.StoreChanged{},
-	event.TaskAsked{}, event.TaskCancelled{}, event.TaskStartEnded{}, event.TaskSubmitted{}, event.Tick{},
+	event.TaskQueried{}, event.TaskCancelled{}, event.TaskStartEnded{}, event.TaskSubmitted{}, event.Tick{},
 	event.WorkerReported{},
 }
 
