--- a/internal/core/entry/driver_test.go
+++ b/internal/core/entry/driver_test.go
@@ -374,7 +374,7 @@
 func (drv *driver) operate(nod *node, name string, chg table.Change) {
 	nod.next++
 	nod.requests[nod.next] = name
-	drv.feed(nod, event.OperatorAsked{Request: nod.next, Change: chg})
+	drv.feed(nod, event.ChangeRequested{Request: nod.next, Change: chg})
 }
 
 // fakeStore is a key-value store with leases on the virtual clock.
--- a/internal/core/entry/edit_test.go
+++ b/internal/core/entry/edit_test.go
@@ -17,7 +17,7 @@
 func (drv *driver) operateFrom(nod *node, name string, chg table.Change, base int64) {
 	nod.next++
 	nod.requests[nod.next] = name
-	drv.feed(nod, event.OperatorAsked{Request: nod.next, Change: chg, Base: base})
+	drv.feed(nod, event.ChangeRequested{Request: nod.next, Change: chg, Base: base})
 }
 
 func TestRacingOperatorsDoNotUndoEachOther(t *testing.T) {
--- a/internal/core/entry/edits.go
+++ b/internal/core/entry/edits.go
@@ -68,7 +68,7 @@
 	next *table.Config
 }
 
-func (stp *step) operatorAsked(evt event.OperatorAsked) {
+func (stp *step) operatorAsked(evt event.ChangeRequested) {
 	if len(stp.st.edits.pending) >= maxPendingEdits {
 		stp.answerOperator(evt.Request, outcome.CodeNotAccepted, "Too many edits wait at this entry.")
 		return
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -55,7 +55,7 @@
 		stp.readHead()
 	case event.FleetListed:
 		stp.fleetListed(evt)
-	case event.OperatorAsked:
+	case event.ChangeRequested:
 		stp.operatorAsked(evt)
 	case event.MembersGone:
 		stp.membersGone(evt.IDs, "an operator vouches for it")
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -168,8 +168,8 @@
 // the list has changed.
 type FleetListed struct{ VMs []vm.VM }
 
-// OperatorAsked is an operator's wish to change the configuration.
-type OperatorAsked struct {
+// ChangeRequested is an operator's wish to change the configuration.
+type ChangeRequested struct {
 	Request uint64
 	Change  table.Change
 	// Base is the revision that the operator's tables were made from; zero
@@ -208,6 +208,6 @@
 func (StoreAnswered) isEvent()    {}
 func (StoreChanged) isEvent()     {}
 func (FleetListed) isEvent()      {}
-func (OperatorAsked) isEvent()    {}
+func (ChangeRequested) isEvent()  {}
 func (StatusAsked) isEvent()      {}
 func (ShutdownAsked) isEvent()    {}
--- a/internal/runner/operators.go
+++ b/internal/runner/operators.go
@@ -165,7 +165,7 @@
 // key is shown only when the change was accepted.
 func (rnr *Runner) change(wrt http.ResponseWriter, req *http.Request, chg table.Change, base int64, secret string) {
 	exc := rnr.exchanges.Open(exchange.Request{})
-	rnr.Post(event.OperatorAsked{Request: exc.ID, Change: chg, Base: base})
+	rnr.Post(event.ChangeRequested{Request: exc.ID, Change: chg, Base: base})
 	rep, ok := rnr.wait(req, exc).(exchange.Changed)
 	if !ok {
 		return
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -256,7 +256,7 @@
 var timerNames = map[reflect.Type]string{
 	reflect.TypeFor[event.MessageReceived](): "peersaid",
 	reflect.TypeFor[event.TaskQueried]():     "taskasked",
-	reflect.TypeFor[event.OperatorAsked]():   "operatorasked",
+	reflect.TypeFor[event.ChangeRequested](): "operatorasked",
 	reflect.TypeFor[event.StatusAsked]():     "statusasked",
 	reflect.TypeFor[event.ShutdownAsked]():   "shutdownasked",
 }
