--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -59,7 +59,7 @@
 		stp.operatorAsked(evt)
 	case event.MembersGone:
 		stp.membersGone(evt.IDs, "an operator vouches for it")
-	case event.StatusAsked:
+	case event.StatusRequested:
 		stp.emit(effect.AnswerStatus{Request: evt.Request, Status: stp.status()})
 	case event.ShutdownAsked:
 		stp.beginShutdown()
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -180,8 +180,8 @@
 // MembersGone is an operator's word that members run no more.
 type MembersGone struct{ IDs []string }
 
-// StatusAsked is an operator's question for the entry's status.
-type StatusAsked struct{ Request uint64 }
+// StatusRequested is an operator's question for the entry's status.
+type StatusRequested struct{ Request uint64 }
 
 // ShutdownAsked begins the entry's graceful shutdown.
 type ShutdownAsked struct{}
@@ -209,5 +209,5 @@
 func (StoreChanged) isEvent()     {}
 func (FleetListed) isEvent()      {}
 func (ChangeRequested) isEvent()  {}
-func (StatusAsked) isEvent()      {}
+func (StatusRequested) isEvent()  {}
 func (ShutdownAsked) isEvent()    {}
--- a/internal/runner/operators.go
+++ b/internal/runner/operators.go
@@ -93,7 +93,7 @@
 
 func (rnr *Runner) serveStatus(wrt http.ResponseWriter, req *http.Request) {
 	exc := rnr.exchanges.Open(exchange.Request{})
-	rnr.Post(event.StatusAsked{Request: exc.ID})
+	rnr.Post(event.StatusRequested{Request: exc.ID})
 	if rep, ok := rnr.wait(req, exc).(exchange.Reported); ok {
 		writeJSON(wrt, http.StatusOK, rep.Status)
 	}
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -257,7 +257,7 @@
 	reflect.TypeFor[event.MessageReceived](): "peersaid",
 	reflect.TypeFor[event.TaskQueried]():     "taskasked",
 	reflect.TypeFor[event.ChangeRequested](): "operatorasked",
-	reflect.TypeFor[event.StatusAsked]():     "statusasked",
+	reflect.TypeFor[event.StatusRequested](): "statusasked",
 	reflect.TypeFor[event.ShutdownAsked]():   "shutdownasked",
 }
 
