--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -61,7 +61,7 @@
 		stp.membersGone(evt.IDs, "an operator vouches for it")
 	case event.StatusRequested:
 		stp.emit(effect.AnswerStatus{Request: evt.Request, Status: stp.status()})
-	case event.ShutdownAsked:
+	case event.ShutdownRequested:
 		stp.beginShutdown()
 	case event.AcceptingStopped:
 		stp.st.draining.stopped = true
--- a/internal/core/entry/request_test.go
+++ b/internal/core/entry/request_test.go
@@ -67,7 +67,7 @@
 	for i := range 8 {
 		drv.request(leaving, fmt.Sprint(i), arrival("big", 0, table.UrgencyNormal))
 	}
-	drv.feed(leaving, event.ShutdownAsked{})
+	drv.feed(leaving, event.ShutdownRequested{})
 	drv.run(3 * time.Second)
 	assert.Assert(t, leaving.exited)
 	for i := range 8 {
--- a/internal/core/entry/schedule_test.go
+++ b/internal/core/entry/schedule_test.go
@@ -219,7 +219,7 @@
 
 func (sch *schedule) shutDownOne() {
 	if nod := sch.pick(); nod != nil && len(sch.live()) == 3 {
-		sch.feed(nod, event.ShutdownAsked{})
+		sch.feed(nod, event.ShutdownRequested{})
 		sch.after(time.Second, func() { sch.addNode(nod.az) })
 	}
 }
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -183,31 +183,31 @@
 // StatusRequested is an operator's question for the entry's status.
 type StatusRequested struct{ Request uint64 }
 
-// ShutdownAsked begins the entry's graceful shutdown.
-type ShutdownAsked struct{}
+// ShutdownRequested begins the entry's graceful shutdown.
+type ShutdownRequested struct{}
 
 // AcceptingStopped follows effect.StopAccepting: every caller has its answer,
 // and none can come any more.
 type AcceptingStopped struct{}
 
-func (AcceptingStopped) isEvent() {}
-func (MembersGone) isEvent()      {}
-func (Started) isEvent()          {}
-func (Tick) isEvent()             {}
-func (RequestArrived) isEvent()   {}
-func (RequestCancelled) isEvent() {}
-func (AttemptEnded) isEvent()     {}
-func (TaskSubmitted) isEvent()    {}
-func (TaskQueried) isEvent()      {}
-func (TaskCancelled) isEvent()    {}
-func (TaskStartEnded) isEvent()   {}
-func (WorkerReported) isEvent()   {}
-func (PeerUp) isEvent()           {}
-func (PeerDown) isEvent()         {}
-func (MessageReceived) isEvent()  {}
-func (StoreAnswered) isEvent()    {}
-func (StoreChanged) isEvent()     {}
-func (FleetListed) isEvent()      {}
-func (ChangeRequested) isEvent()  {}
-func (StatusRequested) isEvent()  {}
-func (ShutdownAsked) isEvent()    {}
+func (AcceptingStopped) isEvent()  {}
+func (MembersGone) isEvent()       {}
+func (Started) isEvent()           {}
+func (Tick) isEvent()              {}
+func (RequestArrived) isEvent()    {}
+func (RequestCancelled) isEvent()  {}
+func (AttemptEnded) isEvent()      {}
+func (TaskSubmitted) isEvent()     {}
+func (TaskQueried) isEvent()       {}
+func (TaskCancelled) isEvent()     {}
+func (TaskStartEnded) isEvent()    {}
+func (WorkerReported) isEvent()    {}
+func (PeerUp) isEvent()            {}
+func (PeerDown) isEvent()          {}
+func (MessageReceived) isEvent()   {}
+func (StoreAnswered) isEvent()     {}
+func (StoreChanged) isEvent()      {}
+func (FleetListed) isEvent()       {}
+func (ChangeRequested) isEvent()   {}
+func (StatusRequested) isEvent()   {}
+func (ShutdownRequested) isEvent() {}
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -167,7 +167,7 @@
 }
 
 // Shutdown begins the graceful shutdown.
-func (rnr *Runner) Shutdown() { rnr.Post(event.ShutdownAsked{}) }
+func (rnr *Runner) Shutdown() { rnr.Post(event.ShutdownRequested{}) }
 
 // Kill ends the entry at once, as a lost VM would. Tests use it.
 func (rnr *Runner) Kill() { rnr.exit() }
@@ -254,11 +254,11 @@
 // timerNames holds the metric names of event types that differ from the name of
 // the type, so that renaming a type leaves its metric as it was.
 var timerNames = map[reflect.Type]string{
-	reflect.TypeFor[event.MessageReceived](): "peersaid",
-	reflect.TypeFor[event.TaskQueried]():     "taskasked",
-	reflect.TypeFor[event.ChangeRequested](): "operatorasked",
-	reflect.TypeFor[event.StatusRequested](): "statusasked",
-	reflect.TypeFor[event.ShutdownAsked]():   "shutdownasked",
+	reflect.TypeFor[event.MessageReceived]():   "peersaid",
+	reflect.TypeFor[event.TaskQueried]():       "taskasked",
+	reflect.TypeFor[event.ChangeRequested]():   "operatorasked",
+	reflect.TypeFor[event.StatusRequested]():   "statusasked",
+	reflect.TypeFor[event.ShutdownRequested](): "shutdownasked",
 }
 
 // timerOf returns the metric of an event's type. Only the loop calls it.
--- a/internal/runner/timer_test.go
+++ b/internal/runner/timer_test.go
@@ -20,7 +20,7 @@
 var timedEvents = []event.Event{
 	event.AcceptingStopped{}, event.AttemptEnded{}, event.FleetListed{}, event.MembersGone{}, event.ChangeRequested{},
 	event.PeerDown{}, event.MessageReceived{}, event.PeerUp{}, event.RequestArrived{}, event.RequestCancelled{},
-	event.ShutdownAsked{}, event.Started{}, event.StatusRequested{}, event.StoreAnswered{}, event.StoreChanged{},
+	event.ShutdownRequested{}, event.Started{}, event.StatusRequested{}, event.StoreAnswered{}, event.StoreChanged{},
 	event.TaskQueried{}, event.TaskCancelled{}, event.TaskStartEnded{}, event.TaskSubmitted{}, event.Tick{},
 	event.WorkerReported{},
 }
