--- a/internal/core/entry/worker_test.go
+++ b/internal/core/entry/worker_test.go
@@ -76,7 +76,7 @@
 		if eff.Attempt <= wkr.fences[eff.TaskID] {
 			end.Refused = true
 		} else {
-			end.Taken = true
+			end.Accepted = true
 			wkr.fences[eff.TaskID] = eff.Attempt
 			wkr.tasks[eff.TaskID] = &fakeTask{
 				attempt: eff.Attempt, due: drv.now.Add(drv.span(eff.TaskID)), expires: drv.now.Add(eff.Lease), fails: wkr.failing,
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -125,10 +125,10 @@
 	Work    work.ID
 	Attempt int
 	// Refused means that the worker certainly did not take the task. When
-	// neither Refused nor Taken is set, it may have.
-	Taken   bool
-	Refused bool
-	Reason  string
+	// neither Refused nor Accepted is set, it may have.
+	Accepted bool
+	Refused  bool
+	Reason   string
 }
 
 // WorkerReported answers PollWorker.
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -88,7 +88,7 @@
 		end.Reason = err.Error()
 		end.Refused = netfail.IsRefused(err)
 	case status == http.StatusOK:
-		end.Taken = true
+		end.Accepted = true
 	default:
 		end.Refused = true
 		end.Reason = fmt.Sprintf("the worker answered %d", status)
