--- a/internal/core/entry/driver_test.go
+++ b/internal/core/entry/driver_test.go
@@ -128,7 +128,7 @@
 	return &driver{
 		now: time.Unix(1_800_000_000, 0), rnd: rand.New(rand.NewPCG(seed, 1)),
 		kv:   fakeStore{items: map[string]store.KeyValue{}, leases: map[int64]time.Time{}, owners: map[string]int64{}},
-		tick: event.TickEvery,
+		tick: event.TickInterval,
 		runs: map[string]int{}, running: map[string]int{}, peak: map[string]int{},
 		workers: map[string]*fakeWorker{}, taskRuns: map[string][]string{}, told: map[string]told{},
 		span: func(string) time.Duration { return 20 * time.Millisecond },
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -22,7 +22,7 @@
 // While work waits or an edit is under way it is event.TickEvery.
 func (sta State) TickWithin() time.Duration {
 	if sta.busy.Len() > 0 || sta.dirty.Len() > 0 || sta.delayed.Len() > 0 || len(sta.edits.pending) > 0 || sta.log.PendingCount() > 0 {
-		return event.TickEvery
+		return event.TickInterval
 	}
 	return event.IdleTickEvery
 }
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -18,8 +18,8 @@
 // How often a driver must feed Tick; State.TickWithin tells which of the two
 // holds.
 const (
-	// TickEvery is while something waits.
-	TickEvery = 5 * time.Millisecond
+	// TickInterval is while something waits.
+	TickInterval = 5 * time.Millisecond
 	// IdleTickEvery is while nothing does.
 	IdleTickEvery = 50 * time.Millisecond
 )
