--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -24,7 +24,7 @@
 	if sta.busy.Len() > 0 || sta.dirty.Len() > 0 || sta.delayed.Len() > 0 || len(sta.edits.pending) > 0 || sta.log.PendingCount() > 0 {
 		return event.TickInterval
 	}
-	return event.IdleTickEvery
+	return event.IdleTickInterval
 }
 
 // step is one run of the reducer: the state being built and the effects so
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -20,8 +20,8 @@
 const (
 	// TickInterval is while something waits.
 	TickInterval = 5 * time.Millisecond
-	// IdleTickEvery is while nothing does.
-	IdleTickEvery = 50 * time.Millisecond
+	// IdleTickInterval is while nothing does.
+	IdleTickInterval = 50 * time.Millisecond
 )
 
 // Started is the first event of an entry.
