--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -71,8 +71,8 @@
 	TaskID  string
 }
 
-// TellTask answers a question for a task.
-type TellTask struct {
+// ReplyTaskStatus answers a question for a task.
+type ReplyTaskStatus struct {
 	Request uint64
 	Status  task.Status
 }
@@ -154,22 +154,22 @@
 	Detail  string
 }
 
-func (Send) isEffect()           {}
-func (CallStore) isEffect()      {}
-func (StartAttempt) isEffect()   {}
-func (AbortAttempt) isEffect()   {}
-func (RelayAnswer) isEffect()    {}
-func (Refuse) isEffect()         {}
-func (AcceptTask) isEffect()     {}
-func (TellTask) isEffect()       {}
-func (StartTask) isEffect()      {}
-func (PollWorker) isEffect()     {}
-func (StopTask) isEffect()       {}
-func (AnswerOperator) isEffect() {}
-func (AnswerStatus) isEffect()   {}
-func (Connect) isEffect()        {}
-func (Adopt) isEffect()          {}
-func (SetReady) isEffect()       {}
-func (StopAccepting) isEffect()  {}
-func (Exit) isEffect()           {}
-func (Record) isEffect()         {}
+func (Send) isEffect()            {}
+func (CallStore) isEffect()       {}
+func (StartAttempt) isEffect()    {}
+func (AbortAttempt) isEffect()    {}
+func (RelayAnswer) isEffect()     {}
+func (Refuse) isEffect()          {}
+func (AcceptTask) isEffect()      {}
+func (ReplyTaskStatus) isEffect() {}
+func (StartTask) isEffect()       {}
+func (PollWorker) isEffect()      {}
+func (StopTask) isEffect()        {}
+func (AnswerOperator) isEffect()  {}
+func (AnswerStatus) isEffect()    {}
+func (Connect) isEffect()         {}
+func (Adopt) isEffect()           {}
+func (SetReady) isEffect()        {}
+func (StopAccepting) isEffect()   {}
+func (Exit) isEffect()            {}
+func (Record) isEffect()          {}
--- a/internal/core/entry/asks.go
+++ b/internal/core/entry/asks.go
@@ -76,7 +76,7 @@
 		stp.refuseNotRun(request, outcome.CodeUnknownTask, "No entry holds such a task.")
 		return
 	}
-	stp.emit(effect.TellTask{Request: request, Status: sts})
+	stp.emit(effect.ReplyTaskStatus{Request: request, Status: sts})
 }
 
 func (stp *step) taskAskHeard(from string, msg message.TaskAsk) {
--- a/internal/core/entry/driver_test.go
+++ b/internal/core/entry/driver_test.go
@@ -275,7 +275,7 @@
 		if drv.trace != nil {
 			fmt.Fprintln(drv.trace, drv.now.Format("05.000"), nod.id, eff.Part, eff.Name, eff.Subject, eff.Detail)
 		}
-	case effect.TellTask:
+	case effect.ReplyTaskStatus:
 		drv.tell(nod, eff.Request, told{outcome: outcome.Answered, state: eff.Status.State})
 	case effect.StartTask:
 		drv.startTask(nod, eff)
--- a/internal/core/entry/tasks.go
+++ b/internal/core/entry/tasks.go
@@ -276,7 +276,7 @@
 		return
 	}
 	if !active {
-		stp.emit(effect.TellTask{Request: evt.Request, Status: rec.Status()})
+		stp.emit(effect.ReplyTaskStatus{Request: evt.Request, Status: rec.Status()})
 		return
 	}
 	wrk, _ := stp.st.works.Get(id)
@@ -286,7 +286,7 @@
 	}
 	stp.endTask(wrk, task.StateCancelled, nil, "Cancelled by its submitter.")
 	rec, _ = stp.st.log.Latest(evt.TaskID)
-	stp.emit(effect.TellTask{Request: evt.Request, Status: rec.Status()})
+	stp.emit(effect.ReplyTaskStatus{Request: evt.Request, Status: rec.Status()})
 }
 
 func (stp *step) stopTask(wrk work.Work) {
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -58,7 +58,7 @@
 		rnr.exchanges.Finish(eff.Request, exchange.Refusal{Refusal: eff.Refusal})
 	case effect.AcceptTask:
 		rnr.exchanges.Finish(eff.Request, exchange.Accepted{TaskID: eff.TaskID})
-	case effect.TellTask:
+	case effect.ReplyTaskStatus:
 		rnr.exchanges.Finish(eff.Request, exchange.Told{Status: eff.Status})
 	case effect.AnswerOperator:
 		rnr.exchanges.Finish(eff.Request, exchange.Changed{Answer: eff})
