--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -111,8 +111,8 @@
 	Attempt int    `json:"attempt"`
 }
 
-// AnswerOperator answers an operator's change.
-type AnswerOperator struct {
+// ReplyChange answers an operator's change.
+type ReplyChange struct {
 	Request uint64
 	// Accepted changes are in the store and at a majority of the voters.
 	Accepted bool
@@ -165,7 +165,7 @@
 func (StartTask) isEffect()       {}
 func (PollWorker) isEffect()      {}
 func (StopTask) isEffect()        {}
-func (AnswerOperator) isEffect()  {}
+func (ReplyChange) isEffect()     {}
 func (AnswerStatus) isEffect()    {}
 func (Connect) isEffect()         {}
 func (Adopt) isEffect()           {}
--- a/internal/core/entry/driver_test.go
+++ b/internal/core/entry/driver_test.go
@@ -265,7 +265,7 @@
 		drv.tell(nod, eff.Request, told{outcome: eff.Refusal.Outcome, code: eff.Refusal.Code})
 	case effect.AcceptTask:
 		drv.tell(nod, eff.Request, told{outcome: outcome.Accepted, code: outcome.Code(eff.TaskID)})
-	case effect.AnswerOperator:
+	case effect.ReplyChange:
 		out := outcome.NotRun
 		if eff.Accepted {
 			out = outcome.Accepted
--- a/internal/core/entry/edits.go
+++ b/internal/core/entry/edits.go
@@ -297,7 +297,7 @@
 		return
 	}
 	if pnd.request != 0 {
-		stp.emit(effect.AnswerOperator{Request: pnd.request, Accepted: true, Revision: pnd.next.Revision})
+		stp.emit(effect.ReplyChange{Request: pnd.request, Accepted: true, Revision: pnd.next.Revision})
 	}
 	stp.dropCurrentEdit()
 }
@@ -314,7 +314,7 @@
 }
 
 func (stp *step) answerOperator(request uint64, cod outcome.Code, msg string) {
-	stp.emit(effect.AnswerOperator{
+	stp.emit(effect.ReplyChange{
 		Request: request, Revision: stp.st.config.Revision, Code: cod, Message: msg,
 	})
 }
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -33,7 +33,7 @@
 type Told struct{ Status task.Status }
 
 // Changed answers an operator's change.
-type Changed struct{ Answer effect.AnswerOperator }
+type Changed struct{ Answer effect.ReplyChange }
 
 // Reported is an entry's status.
 type Reported struct{ Status effect.Status }
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -60,7 +60,7 @@
 		rnr.exchanges.Finish(eff.Request, exchange.Accepted{TaskID: eff.TaskID})
 	case effect.ReplyTaskStatus:
 		rnr.exchanges.Finish(eff.Request, exchange.Told{Status: eff.Status})
-	case effect.AnswerOperator:
+	case effect.ReplyChange:
 		rnr.exchanges.Finish(eff.Request, exchange.Changed{Answer: eff})
 	case effect.AnswerStatus:
 		rnr.exchanges.Finish(eff.Request, exchange.Reported{Status: eff.Status})
