--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -121,8 +121,8 @@
 	Message  string
 }
 
-// AnswerStatus answers an operator's question.
-type AnswerStatus struct {
+// ReplyStatus answers an operator's question.
+type ReplyStatus struct {
 	Request uint64
 	Status  Status
 }
@@ -166,7 +166,7 @@
 func (PollWorker) isEffect()      {}
 func (StopTask) isEffect()        {}
 func (ReplyChange) isEffect()     {}
-func (AnswerStatus) isEffect()    {}
+func (ReplyStatus) isEffect()     {}
 func (Connect) isEffect()         {}
 func (Adopt) isEffect()           {}
 func (SetReady) isEffect()        {}
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -60,7 +60,7 @@
 	case event.MembersGone:
 		stp.membersGone(evt.IDs, "an operator vouches for it")
 	case event.StatusRequested:
-		stp.emit(effect.AnswerStatus{Request: evt.Request, Status: stp.status()})
+		stp.emit(effect.ReplyStatus{Request: evt.Request, Status: stp.status()})
 	case event.ShutdownRequested:
 		stp.beginShutdown()
 	case event.AcceptingStopped:
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -62,7 +62,7 @@
 		rnr.exchanges.Finish(eff.Request, exchange.Told{Status: eff.Status})
 	case effect.ReplyChange:
 		rnr.exchanges.Finish(eff.Request, exchange.Changed{Answer: eff})
-	case effect.AnswerStatus:
+	case effect.ReplyStatus:
 		rnr.exchanges.Finish(eff.Request, exchange.Reported{Status: eff.Status})
 	}
 }
