--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -52,8 +52,8 @@
 	Attempt int
 }
 
-// RelayAnswer gives the caller the whole answer of the attempt that ended.
-type RelayAnswer struct {
+// RelayResponse gives the caller the whole answer of the attempt that ended.
+type RelayResponse struct {
 	Request uint64
 	Work    work.ID
 	Attempt int
@@ -158,7 +158,7 @@
 func (CallStore) isEffect()       {}
 func (StartAttempt) isEffect()    {}
 func (AbortAttempt) isEffect()    {}
-func (RelayAnswer) isEffect()     {}
+func (RelayResponse) isEffect()   {}
 func (Refuse) isEffect()          {}
 func (AcceptTask) isEffect()      {}
 func (ReplyTaskStatus) isEffect() {}
--- a/internal/core/entry/driver_test.go
+++ b/internal/core/entry/driver_test.go
@@ -259,7 +259,7 @@
 		drv.callStore(nod, eff)
 	case effect.StartAttempt:
 		drv.startAttempt(nod, eff)
-	case effect.RelayAnswer:
+	case effect.RelayResponse:
 		drv.tell(nod, eff.Request, told{outcome: outcome.Answered})
 	case effect.Refuse:
 		drv.tell(nod, eff.Request, told{outcome: eff.Refusal.Outcome, code: eff.Refusal.Code})
--- a/internal/core/entry/request.go
+++ b/internal/core/entry/request.go
@@ -149,7 +149,7 @@
 	switch {
 	case evt.Result == event.AttemptAnswered:
 		stp.noteAnswer(wrk.VM)
-		stp.emit(effect.RelayAnswer{Request: stp.requestOf(wrk.ID), Work: wrk.ID, Attempt: wrk.Attempt})
+		stp.emit(effect.RelayResponse{Request: stp.requestOf(wrk.ID), Work: wrk.ID, Attempt: wrk.Attempt})
 		stp.forget(wrk)
 		stp.reuseSlot(wrk)
 	case wrk.Cancelled:
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -26,7 +26,7 @@
 		rnr.startAttempt(eff)
 	case effect.AbortAttempt:
 		rnr.abort(attemptKey{eff.Work, eff.Attempt})
-	case effect.RelayAnswer:
+	case effect.RelayResponse:
 		rnr.relay(eff)
 	case effect.StartTask:
 		go func() { rnr.Post(rnr.workers.Start(rnr.calls, eff)) }()
@@ -112,7 +112,7 @@
 	}
 }
 
-func (rnr *Runner) relay(eff effect.RelayAnswer) {
+func (rnr *Runner) relay(eff effect.RelayResponse) {
 	exc, ok := rnr.exchanges.Get(eff.Request)
 	if !ok {
 		return
