--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -130,8 +130,8 @@
 // Connect names the addresses to keep links to, beside those of the settings.
 type Connect struct{ Voters []table.Voter }
 
-// Adopt makes a configuration known to the driver, for reading only.
-type Adopt struct{ Config *table.Config }
+// PublishConfig makes a configuration known to the driver, for reading only.
+type PublishConfig struct{ Config *table.Config }
 
 // SetReady tells the balancer whether to send callers here.
 type SetReady struct{ Ready bool }
@@ -168,7 +168,7 @@
 func (ReplyChange) isEffect()     {}
 func (ReplyStatus) isEffect()     {}
 func (Connect) isEffect()         {}
-func (Adopt) isEffect()           {}
+func (PublishConfig) isEffect()   {}
 func (SetReady) isEffect()        {}
 func (StopAccepting) isEffect()   {}
 func (Exit) isEffect()            {}
--- a/internal/core/entry/configuration.go
+++ b/internal/core/entry/configuration.go
@@ -83,7 +83,7 @@
 		stp.st.recent = nil
 	}
 	stp.st.ledger = stp.st.ledger.WithVoters(cfg)
-	stp.emit(effect.Adopt{Config: cfg})
+	stp.emit(effect.PublishConfig{Config: cfg})
 	stp.record("config", "config_applied", fmt.Sprintf("revision %d", cfg.Revision), "")
 	stp.recordAZs(old, cfg)
 	if !slices.Equal(old.Voters, cfg.Voters) {
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -36,7 +36,7 @@
 		go rnr.workers.Stop(rnr.calls, eff)
 	case effect.Connect:
 		rnr.connect(eff.Voters)
-	case effect.Adopt:
+	case effect.PublishConfig:
 		rnr.config.Store(eff.Config)
 	case effect.SetReady:
 		rnr.setReady(eff.Ready)
