--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -92,7 +92,7 @@
 	stp.membersGone(hbt.Gone, "told by "+from)
 	stp.offerEdits(from, hbt.Revision)
 	if hbt.Revision > stp.st.config.Revision {
-		stp.send(from, message.SnapshotAsk{Have: stp.st.config.Revision})
+		stp.send(from, message.SnapshotRequest{Have: stp.st.config.Revision})
 	}
 	stp.checkAcknowledged()
 }
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -164,7 +164,7 @@
 		stp.heartbeatHeard(from, msg)
 	case message.Edits:
 		stp.editsHeard(from, msg)
-	case message.SnapshotAsk:
+	case message.SnapshotRequest:
 		stp.offerEdits(from, msg.Have)
 	case message.Snapshot:
 		stp.snapshotHeard(msg)
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -47,9 +47,9 @@
 	Edits []table.Edit `json:"edits"`
 }
 
-// SnapshotAsk asks for the whole configuration, by a peer whose own is older
+// SnapshotRequest asks for the whole configuration, by a peer whose own is older
 // than the changes that are kept.
-type SnapshotAsk struct {
+type SnapshotRequest struct {
 	Have int64 `json:"have"`
 }
 
--- a/internal/core/message/wire.go
+++ b/internal/core/message/wire.go
@@ -32,23 +32,23 @@
 	kindKeep
 )
 
-func (Heartbeat) kind() kind      { return kindHeartbeat }
-func (Edits) kind() kind          { return kindEdits }
-func (SnapshotAsk) kind() kind    { return kindSnapshotAsk }
-func (Snapshot) kind() kind       { return kindSnapshot }
-func (Demand) kind() kind         { return kindDemand }
-func (Grants) kind() kind         { return kindGrants }
-func (PermitAsk) kind() kind      { return kindPermitAsk }
-func (PermitTransfer) kind() kind { return kindPermitTransfer }
-func (Freeze) kind() kind         { return kindFreeze }
-func (Frozen) kind() kind         { return kindFrozen }
-func (TaskAsk) kind() kind        { return kindTaskAsk }
-func (TaskTold) kind() kind       { return kindTaskTold }
-func (Reserve) kind() kind        { return kindReserve }
-func (Reserved) kind() kind       { return kindReserved }
-func (Release) kind() kind        { return kindRelease }
-func (Recall) kind() kind         { return kindRecall }
-func (Keep) kind() kind           { return kindKeep }
+func (Heartbeat) kind() kind       { return kindHeartbeat }
+func (Edits) kind() kind           { return kindEdits }
+func (SnapshotRequest) kind() kind { return kindSnapshotAsk }
+func (Snapshot) kind() kind        { return kindSnapshot }
+func (Demand) kind() kind          { return kindDemand }
+func (Grants) kind() kind          { return kindGrants }
+func (PermitAsk) kind() kind       { return kindPermitAsk }
+func (PermitTransfer) kind() kind  { return kindPermitTransfer }
+func (Freeze) kind() kind          { return kindFreeze }
+func (Frozen) kind() kind          { return kindFrozen }
+func (TaskAsk) kind() kind         { return kindTaskAsk }
+func (TaskTold) kind() kind        { return kindTaskTold }
+func (Reserve) kind() kind         { return kindReserve }
+func (Reserved) kind() kind        { return kindReserved }
+func (Release) kind() kind         { return kindRelease }
+func (Recall) kind() kind          { return kindRecall }
+func (Keep) kind() kind            { return kindKeep }
 
 // Encode writes a message: one byte for its type, then its fields.
 func Encode(msg Message) (data []byte, err error) {
@@ -93,7 +93,7 @@
 var decoders = map[kind]func(body []byte) (Message, error){
 	kindHeartbeat:      decodeAs[Heartbeat],
 	kindEdits:          decodeAs[Edits],
-	kindSnapshotAsk:    decodeAs[SnapshotAsk],
+	kindSnapshotAsk:    decodeAs[SnapshotRequest],
 	kindSnapshot:       decodeAs[Snapshot],
 	kindDemand:         decodeAs[Demand],
 	kindGrants:         decodeAs[Grants],
--- a/internal/core/message/wire_test.go
+++ b/internal/core/message/wire_test.go
@@ -14,7 +14,7 @@
 var samples = []message.Message{
 	message.Heartbeat{Revision: 3, AZ: "a", SentNanos: 5, Echo: 4, Spare: []message.Spare{{Team: "t", Permits: 2}}},
 	message.Edits{Edits: []table.Edit{table.NewEdit(4, "n", table.AZSet{AZ: "a", Out: true})}},
-	message.SnapshotAsk{Have: 2},
+	message.SnapshotRequest{Have: 2},
 	message.Snapshot{Config: []byte("{}")},
 	message.Demand{Pool: "p", Acknowledged: 7, Lanes: []message.LaneDemand{{Team: "t", Urgency: table.UrgencyUrgent, Waiting: 3, AgeMillis: 9}}},
 	message.Grants{Pool: "p", Grants: []message.Grant{{Seq: 8, VM: "v", Team: "t", Urgency: table.UrgencyNormal}}},
