--- a/internal/core/entry/permits.go
+++ b/internal/core/entry/permits.go
@@ -73,7 +73,7 @@
 // askForPermits asks the peers that said that they have some to spare, or one
 // peer at random when none did.
 func (stp *step) askForPermits(team string, lacking int, tst teamState) {
-	ask := message.PermitAsk{
+	ask := message.PermitRequest{
 		Team: team, Urgent: tst.urgent, Free: max(0, tst.free),
 		AgeMillis: stp.now.Sub(tst.oldest).Milliseconds(),
 	}
@@ -132,7 +132,7 @@
 }
 
 // permitsAsked gives what the asker should have.
-func (stp *step) permitsAsked(from string, ask message.PermitAsk) {
+func (stp *step) permitsAsked(from string, ask message.PermitRequest) {
 	if _, votes := stp.st.config.Voter(from); !votes {
 		return
 	}
@@ -151,7 +151,7 @@
 // work for; half of those that its own work waits to use, if the asker has none
 // at all; and the last one if the asker's work is more urgent or older. So no
 // entry keeps a team's permits to itself.
-func (stp *step) giveable(ask message.PermitAsk) int {
+func (stp *step) giveable(ask message.PermitRequest) int {
 	tst := stp.teamState(ask.Team)
 	spare := tst.spare()
 	if spare > 0 || tst.free <= 0 || ask.Free > 0 {
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -174,7 +174,7 @@
 		stp.grantsHeard(from, msg)
 	case message.Recall:
 		stp.recallHeard(msg)
-	case message.PermitAsk:
+	case message.PermitRequest:
 		stp.permitsAsked(from, msg)
 	case message.PermitTransfer:
 		stp.permitsHeard(from, msg)
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -123,8 +123,8 @@
 	Count   int    `json:"c"`
 }
 
-// PermitAsk asks for permits of a team.
-type PermitAsk struct {
+// PermitRequest asks for permits of a team.
+type PermitRequest struct {
 	Team    string `json:"team"`
 	Permits int    `json:"permits"`
 	// AgeMillis is how long the oldest work of the team has waited, and Urgent
--- a/internal/core/message/wire.go
+++ b/internal/core/message/wire.go
@@ -38,7 +38,7 @@
 func (Snapshot) kind() kind        { return kindSnapshot }
 func (Demand) kind() kind          { return kindDemand }
 func (Grants) kind() kind          { return kindGrants }
-func (PermitAsk) kind() kind       { return kindPermitAsk }
+func (PermitRequest) kind() kind   { return kindPermitAsk }
 func (PermitTransfer) kind() kind  { return kindPermitTransfer }
 func (Freeze) kind() kind          { return kindFreeze }
 func (Frozen) kind() kind          { return kindFrozen }
@@ -97,7 +97,7 @@
 	kindSnapshot:       decodeAs[Snapshot],
 	kindDemand:         decodeAs[Demand],
 	kindGrants:         decodeAs[Grants],
-	kindPermitAsk:      decodeAs[PermitAsk],
+	kindPermitAsk:      decodeAs[PermitRequest],
 	kindPermitTransfer: decodeAs[PermitTransfer],
 	kindFreeze:         decodeAs[Freeze],
 	kindFrozen:         decodeAs[Frozen],
--- a/internal/core/message/wire_test.go
+++ b/internal/core/message/wire_test.go
@@ -19,7 +19,7 @@
 	message.Demand{Pool: "p", Acknowledged: 7, Lanes: []message.LaneDemand{{Team: "t", Urgency: table.UrgencyUrgent, Waiting: 3, AgeMillis: 9}}},
 	message.Grants{Pool: "p", Grants: []message.Grant{{Seq: 8, VM: "v", Team: "t", Urgency: table.UrgencyNormal}}},
 	message.Recall{Pool: "p", Slots: []message.RecallSlot{{Team: "t", Count: 1}}},
-	message.PermitAsk{Team: "t", Permits: 2, AgeMillis: 5, Urgent: true},
+	message.PermitRequest{Team: "t", Permits: 2, AgeMillis: 5, Urgent: true},
 	message.PermitTransfer{Totals: []permit.Total{{Team: "t", Count: 9}}},
 	message.Freeze{Members: []string{"m"}},
 	message.Frozen{Members: []string{"m"}, Settlement: table.Settlement{Member: "k", Net: []table.TeamPermits{{Team: "t", Permits: -1}}}},
