--- a/internal/core/entry/asks.go
+++ b/internal/core/entry/asks.go
@@ -61,7 +61,7 @@
 	for _, per := range stp.st.view.Peers() {
 		if per.Connected {
 			ask.awaited++
-			stp.send(per.ID, message.TaskAsk{AskID: id, TaskID: evt.TaskID})
+			stp.send(per.ID, message.TaskQuery{AskID: id, TaskID: evt.TaskID})
 		}
 	}
 	if ask.awaited == 0 {
@@ -79,7 +79,7 @@
 	stp.emit(effect.ReplyTaskStatus{Request: request, Status: sts})
 }
 
-func (stp *step) taskAskHeard(from string, msg message.TaskAsk) {
+func (stp *step) taskAskHeard(from string, msg message.TaskQuery) {
 	rec, ok := stp.st.log.Kept(msg.TaskID)
 	stp.send(from, message.TaskTold{AskID: msg.AskID, Found: ok, Status: rec.Status()})
 }
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -182,7 +182,7 @@
 		stp.freezeHeard(from, msg)
 	case message.Frozen:
 		stp.frozenHeard(from, msg)
-	case message.TaskAsk:
+	case message.TaskQuery:
 		stp.taskAskHeard(from, msg)
 	case message.TaskTold:
 		stp.taskToldHeard(from, msg)
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -153,8 +153,8 @@
 	Settlement table.Settlement `json:"settlement"`
 }
 
-// TaskAsk asks whether a member holds a task.
-type TaskAsk struct {
+// TaskQuery asks whether a member holds a task.
+type TaskQuery struct {
 	AskID  uint64 `json:"ask"`
 	TaskID string `json:"task"`
 }
--- a/internal/core/message/wire.go
+++ b/internal/core/message/wire.go
@@ -42,7 +42,7 @@
 func (PermitTransfer) kind() kind  { return kindPermitTransfer }
 func (Freeze) kind() kind          { return kindFreeze }
 func (Frozen) kind() kind          { return kindFrozen }
-func (TaskAsk) kind() kind         { return kindTaskAsk }
+func (TaskQuery) kind() kind       { return kindTaskAsk }
 func (TaskTold) kind() kind        { return kindTaskTold }
 func (Reserve) kind() kind         { return kindReserve }
 func (Reserved) kind() kind        { return kindReserved }
@@ -101,7 +101,7 @@
 	kindPermitTransfer: decodeAs[PermitTransfer],
 	kindFreeze:         decodeAs[Freeze],
 	kindFrozen:         decodeAs[Frozen],
-	kindTaskAsk:        decodeAs[TaskAsk],
+	kindTaskAsk:        decodeAs[TaskQuery],
 	kindTaskTold:       decodeAs[TaskTold],
 	kindReserve:        decodeAs[Reserve],
 	kindReserved:       decodeAs[Reserved],
--- a/internal/core/message/wire_test.go
+++ b/internal/core/message/wire_test.go
@@ -23,7 +23,7 @@
 	message.PermitTransfer{Totals: []permit.Total{{Team: "t", Count: 9}}},
 	message.Freeze{Members: []string{"m"}},
 	message.Frozen{Members: []string{"m"}, Settlement: table.Settlement{Member: "k", Net: []table.TeamPermits{{Team: "t", Permits: -1}}}},
-	message.TaskAsk{AskID: 1, TaskID: "e.1"},
+	message.TaskQuery{AskID: 1, TaskID: "e.1"},
 	message.TaskTold{AskID: 1, Found: true},
 	message.Reserve{AskID: 2, Hash: "h"},
 	message.Reserved{AskID: 2, Hash: "h", Fresh: true},
