--- a/internal/core/entry/asks.go
+++ b/internal/core/entry/asks.go
@@ -81,10 +81,10 @@
 
 func (stp *step) taskAskHeard(from string, msg message.TaskQuery) {
 	rec, ok := stp.st.log.Kept(msg.TaskID)
-	stp.send(from, message.TaskTold{AskID: msg.AskID, Found: ok, Status: rec.Status()})
+	stp.send(from, message.TaskReply{AskID: msg.AskID, Found: ok, Status: rec.Status()})
 }
 
-func (stp *step) taskToldHeard(_ string, msg message.TaskTold) {
+func (stp *step) taskToldHeard(_ string, msg message.TaskReply) {
 	ask, ok := stp.st.asks.tasks.Get(msg.AskID)
 	if !ok {
 		return
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -184,7 +184,7 @@
 		stp.frozenHeard(from, msg)
 	case message.TaskQuery:
 		stp.taskAskHeard(from, msg)
-	case message.TaskTold:
+	case message.TaskReply:
 		stp.taskToldHeard(from, msg)
 	case message.Reserve:
 		stp.reserveHeard(from, msg)
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -159,8 +159,8 @@
 	TaskID string `json:"task"`
 }
 
-// TaskTold answers TaskAsk. Found is false when the member does not hold it.
-type TaskTold struct {
+// TaskReply answers TaskAsk. Found is false when the member does not hold it.
+type TaskReply struct {
 	AskID  uint64      `json:"ask"`
 	Found  bool        `json:"found"`
 	Status task.Status `json:"status"`
--- a/internal/core/message/wire.go
+++ b/internal/core/message/wire.go
@@ -43,7 +43,7 @@
 func (Freeze) kind() kind          { return kindFreeze }
 func (Frozen) kind() kind          { return kindFrozen }
 func (TaskQuery) kind() kind       { return kindTaskAsk }
-func (TaskTold) kind() kind        { return kindTaskTold }
+func (TaskReply) kind() kind       { return kindTaskTold }
 func (Reserve) kind() kind         { return kindReserve }
 func (Reserved) kind() kind        { return kindReserved }
 func (Release) kind() kind         { return kindRelease }
@@ -102,7 +102,7 @@
 	kindFreeze:         decodeAs[Freeze],
 	kindFrozen:         decodeAs[Frozen],
 	kindTaskAsk:        decodeAs[TaskQuery],
-	kindTaskTold:       decodeAs[TaskTold],
+	kindTaskTold:       decodeAs[TaskReply],
 	kindReserve:        decodeAs[Reserve],
 	kindReserved:       decodeAs[Reserved],
 	kindRelease:        decodeAs[Release],
--- a/internal/core/message/wire_test.go
+++ b/internal/core/message/wire_test.go
@@ -24,7 +24,7 @@
 	message.Freeze{Members: []string{"m"}},
 	message.Frozen{Members: []string{"m"}, Settlement: table.Settlement{Member: "k", Net: []table.TeamPermits{{Team: "t", Permits: -1}}}},
 	message.TaskQuery{AskID: 1, TaskID: "e.1"},
-	message.TaskTold{AskID: 1, Found: true},
+	message.TaskReply{AskID: 1, Found: true},
 	message.Reserve{AskID: 2, Hash: "h"},
 	message.Reserved{AskID: 2, Hash: "h", Fresh: true},
 	message.Release{Hash: "h"},
--- a/internal/outernames/names_test.go
+++ b/internal/outernames/names_test.go
@@ -55,7 +55,7 @@
 // messages lists one value of each type of message between entries.
 var messages = []message.Message{
 	message.Heartbeat{}, message.Edits{}, message.SnapshotRequest{}, message.Snapshot{}, message.Demand{}, message.Grants{},
-	message.PermitRequest{}, message.PermitTransfer{}, message.Freeze{}, message.Frozen{}, message.TaskQuery{}, message.TaskTold{},
+	message.PermitRequest{}, message.PermitTransfer{}, message.Freeze{}, message.Frozen{}, message.TaskQuery{}, message.TaskReply{},
 	message.Reserve{}, message.Reserved{}, message.Release{}, message.Recall{}, message.Keep{},
 }
 
