--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -186,7 +186,7 @@
 		stp.taskAskHeard(from, msg)
 	case message.TaskReply:
 		stp.taskToldHeard(from, msg)
-	case message.Reserve:
+	case message.ReserveKey:
 		stp.reserveHeard(from, msg)
 	case message.Reserved:
 		stp.reservedHeard(from, msg)
--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -50,11 +50,11 @@
 	stp.st.asks.reservations = stp.st.asks.reservations.Set(id, ask)
 	stp.st.asks.reservationOf = stp.st.asks.reservationOf.Set(stp.requestOf(wrk.ID), hash)
 	for _, home := range homes {
-		stp.send(home, message.Reserve{AskID: id, Hash: hash})
+		stp.send(home, message.ReserveKey{AskID: id, Hash: hash})
 	}
 }
 
-func (stp *step) reserveHeard(from string, msg message.Reserve) {
+func (stp *step) reserveHeard(from string, msg message.ReserveKey) {
 	if stp.st.memory.Len() > sweepAbove && stp.random(sweepAbove) == 0 {
 		stp.st.memory = stp.st.memory.Swept(stp.now)
 	}
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -166,9 +166,9 @@
 	Status task.Status `json:"status"`
 }
 
-// Reserve asks a member to remember that a request with an idempotency key is
+// ReserveKey asks a member to remember that a request with an idempotency key is
 // about to run.
-type Reserve struct {
+type ReserveKey struct {
 	AskID uint64 `json:"ask"`
 	// Hash covers the team and the caller's idempotency key.
 	Hash string `json:"hash"`
--- a/internal/core/message/wire.go
+++ b/internal/core/message/wire.go
@@ -44,7 +44,7 @@
 func (Frozen) kind() kind          { return kindFrozen }
 func (TaskQuery) kind() kind       { return kindTaskAsk }
 func (TaskReply) kind() kind       { return kindTaskTold }
-func (Reserve) kind() kind         { return kindReserve }
+func (ReserveKey) kind() kind      { return kindReserve }
 func (Reserved) kind() kind        { return kindReserved }
 func (Release) kind() kind         { return kindRelease }
 func (Recall) kind() kind          { return kindRecall }
@@ -103,7 +103,7 @@
 	kindFrozen:         decodeAs[Frozen],
 	kindTaskAsk:        decodeAs[TaskQuery],
 	kindTaskTold:       decodeAs[TaskReply],
-	kindReserve:        decodeAs[Reserve],
+	kindReserve:        decodeAs[ReserveKey],
 	kindReserved:       decodeAs[Reserved],
 	kindRelease:        decodeAs[Release],
 	kindRecall:         decodeAs[Recall],
--- a/internal/core/message/wire_test.go
+++ b/internal/core/message/wire_test.go
@@ -25,7 +25,7 @@
 	message.Frozen{Members: []string{"m"}, Settlement: table.Settlement{Member: "k", Net: []table.TeamPermits{{Team: "t", Permits: -1}}}},
 	message.TaskQuery{AskID: 1, TaskID: "e.1"},
 	message.TaskReply{AskID: 1, Found: true},
-	message.Reserve{AskID: 2, Hash: "h"},
+	message.ReserveKey{AskID: 2, Hash: "h"},
 	message.Reserved{AskID: 2, Hash: "h", Fresh: true},
 	message.Release{Hash: "h"},
 	message.Keep{Keys: []message.Kept{{Hash: "h", Owner: "m", AgeMillis: 3}}},
