--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -188,7 +188,7 @@
 		stp.taskToldHeard(from, msg)
 	case message.ReserveKey:
 		stp.reserveHeard(from, msg)
-	case message.Reserved:
+	case message.ReserveKeyReply:
 		stp.reservedHeard(from, msg)
 	case message.Keep:
 		stp.keepHeard(msg)
--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -60,10 +60,10 @@
 	}
 	next, fresh := stp.st.memory.WithUse(stp.now, msg.Hash, from, msg.AskID)
 	stp.st.memory = next
-	stp.send(from, message.Reserved{AskID: msg.AskID, Hash: msg.Hash, Fresh: fresh})
+	stp.send(from, message.ReserveKeyReply{AskID: msg.AskID, Hash: msg.Hash, Fresh: fresh})
 }
 
-func (stp *step) reservedHeard(from string, msg message.Reserved) {
+func (stp *step) reservedHeard(from string, msg message.ReserveKeyReply) {
 	ask, ok := stp.st.asks.reservations.Get(msg.AskID)
 	if !ok || ask.hash != msg.Hash {
 		return
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -174,8 +174,8 @@
 	Hash string `json:"hash"`
 }
 
-// Reserved answers Reserve. Fresh is false when the key was seen before.
-type Reserved struct {
+// ReserveKeyReply answers Reserve. Fresh is false when the key was seen before.
+type ReserveKeyReply struct {
 	AskID uint64 `json:"ask"`
 	Hash  string `json:"hash"`
 	Fresh bool   `json:"fresh"`
--- a/internal/core/message/wire.go
+++ b/internal/core/message/wire.go
@@ -45,7 +45,7 @@
 func (TaskQuery) kind() kind       { return kindTaskAsk }
 func (TaskReply) kind() kind       { return kindTaskTold }
 func (ReserveKey) kind() kind      { return kindReserve }
-func (Reserved) kind() kind        { return kindReserved }
+func (ReserveKeyReply) kind() kind { return kindReserved }
 func (Release) kind() kind         { return kindRelease }
 func (Recall) kind() kind          { return kindRecall }
 func (Keep) kind() kind            { return kindKeep }
@@ -104,7 +104,7 @@
 	kindTaskAsk:        decodeAs[TaskQuery],
 	kindTaskTold:       decodeAs[TaskReply],
 	kindReserve:        decodeAs[ReserveKey],
-	kindReserved:       decodeAs[Reserved],
+	kindReserved:       decodeAs[ReserveKeyReply],
 	kindRelease:        decodeAs[Release],
 	kindRecall:         decodeAs[Recall],
 	kindKeep:           decodeAs[Keep],
--- a/internal/core/message/wire_test.go
+++ b/internal/core/message/wire_test.go
@@ -26,7 +26,7 @@
 	message.TaskQuery{AskID: 1, TaskID: "e.1"},
 	message.TaskReply{AskID: 1, Found: true},
 	message.ReserveKey{AskID: 2, Hash: "h"},
-	message.Reserved{AskID: 2, Hash: "h", Fresh: true},
+	message.ReserveKeyReply{AskID: 2, Hash: "h", Fresh: true},
 	message.Release{Hash: "h"},
 	message.Keep{Keys: []message.Kept{{Hash: "h", Owner: "m", AgeMillis: 3}}},
 }
