--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -192,7 +192,7 @@
 		stp.reservedHeard(from, msg)
 	case message.Keep:
 		stp.keepHeard(msg)
-	case message.Release:
+	case message.ReleaseKey:
 		stp.releaseHeard(from, msg)
 	}
 }
--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -146,11 +146,11 @@
 	}
 	stp.st.asks.reservationOf = stp.st.asks.reservationOf.Delete(request)
 	for _, home := range idempotency.Homes(stp.st.config.VoterIDs(), hash) {
-		stp.send(home, message.Release{Hash: hash})
+		stp.send(home, message.ReleaseKey{Hash: hash})
 	}
 }
 
-func (stp *step) releaseHeard(from string, msg message.Release) {
+func (stp *step) releaseHeard(from string, msg message.ReleaseKey) {
 	stp.st.memory = stp.st.memory.WithoutUse(msg.Hash, from)
 }
 
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -194,8 +194,8 @@
 	AgeMillis int64 `json:"a"`
 }
 
-// Release asks a member to forget a reservation, because the request was
+// ReleaseKey asks a member to forget a reservation, because the request was
 // certainly not run.
-type Release struct {
+type ReleaseKey struct {
 	Hash string `json:"hash"`
 }
--- a/internal/core/message/wire.go
+++ b/internal/core/message/wire.go
@@ -46,7 +46,7 @@
 func (TaskReply) kind() kind       { return kindTaskTold }
 func (ReserveKey) kind() kind      { return kindReserve }
 func (ReserveKeyReply) kind() kind { return kindReserved }
-func (Release) kind() kind         { return kindRelease }
+func (ReleaseKey) kind() kind      { return kindRelease }
 func (Recall) kind() kind          { return kindRecall }
 func (Keep) kind() kind            { return kindKeep }
 
@@ -105,7 +105,7 @@
 	kindTaskTold:       decodeAs[TaskReply],
 	kindReserve:        decodeAs[ReserveKey],
 	kindReserved:       decodeAs[ReserveKeyReply],
-	kindRelease:        decodeAs[Release],
+	kindRelease:        decodeAs[ReleaseKey],
 	kindRecall:         decodeAs[Recall],
 	kindKeep:           decodeAs[Keep],
 }
--- a/internal/core/message/wire_test.go
+++ b/internal/core/message/wire_test.go
@@ -27,7 +27,7 @@
 	message.TaskReply{AskID: 1, Found: true},
 	message.ReserveKey{AskID: 2, Hash: "h"},
 	message.ReserveKeyReply{AskID: 2, Hash: "h", Fresh: true},
-	message.Release{Hash: "h"},
+	message.ReleaseKey{Hash: "h"},
 	message.Keep{Keys: []message.Kept{{Hash: "h", Owner: "m", AgeMillis: 3}}},
 }
 
--- a/internal/peerlink/links_test.go
+++ b/internal/peerlink/links_test.go
@@ -84,8 +84,8 @@
 	b.want(t)
 	a.await(t, 1, isUp)
 	b.await(t, 1, isUp)
-	a.links.Send("b", message.Release{Hash: "from a"})
-	b.links.Send("a", message.Release{Hash: "from b"})
+	a.links.Send("b", message.ReleaseKey{Hash: "from a"})
+	b.links.Send("a", message.ReleaseKey{Hash: "from b"})
 	a.await(t, 1, isSaid)
 	b.await(t, 1, isSaid)
 }
@@ -166,7 +166,7 @@
 	rly.silence()
 	a.await(t, 1, isDown)
 	a.await(t, 2, isUp)
-	a.links.Send("b", message.Release{Hash: "h"})
+	a.links.Send("b", message.ReleaseKey{Hash: "h"})
 	b.await(t, 1, isSaid)
 }
 
@@ -190,7 +190,7 @@
 			assert.Assert(t, !nerr.Timeout(), "the connection was not ended")
 		}
 	}
-	a.links.Send("b", message.Release{Hash: "h"})
+	a.links.Send("b", message.ReleaseKey{Hash: "h"})
 	b.await(t, 1, isSaid)
 	assert.Equal(t, a.count(isDown), 0)
 }
