--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -190,7 +190,7 @@
 		stp.reserveHeard(from, msg)
 	case message.ReserveKeyReply:
 		stp.reservedHeard(from, msg)
-	case message.Keep:
+	case message.KeyHandover:
 		stp.keepHeard(msg)
 	case message.ReleaseKey:
 		stp.releaseHeard(from, msg)
--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -108,12 +108,12 @@
 			keeps = append(keeps, message.Kept{Hash: key.Hash, Owner: key.Owner, AgeMillis: key.Age.Milliseconds()})
 		}
 		for part := range slices.Chunk(keeps, keysPerMessage) {
-			stp.send(hdo.To, message.Keep{Keys: part})
+			stp.send(hdo.To, message.KeyHandover{Keys: part})
 		}
 	}
 }
 
-func (stp *step) keepHeard(msg message.Keep) {
+func (stp *step) keepHeard(msg message.KeyHandover) {
 	var keys []idempotency.Key
 	for _, kpt := range msg.Keys {
 		age := time.Duration(kpt.AgeMillis) * time.Millisecond
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -181,8 +181,8 @@
 	Fresh bool   `json:"fresh"`
 }
 
-// Keep hands idempotency keys on to a member that came to be their home.
-type Keep struct {
+// KeyHandover hands idempotency keys on to a member that came to be their home.
+type KeyHandover struct {
 	Keys []Kept `json:"keys"`
 }
 
--- a/internal/core/message/wire.go
+++ b/internal/core/message/wire.go
@@ -48,7 +48,7 @@
 func (ReserveKeyReply) kind() kind { return kindReserved }
 func (ReleaseKey) kind() kind      { return kindRelease }
 func (Recall) kind() kind          { return kindRecall }
-func (Keep) kind() kind            { return kindKeep }
+func (KeyHandover) kind() kind     { return kindKeep }
 
 // Encode writes a message: one byte for its type, then its fields.
 func Encode(msg Message) (data []byte, err error) {
@@ -107,7 +107,7 @@
 	kindReserved:       decodeAs[ReserveKeyReply],
 	kindRelease:        decodeAs[ReleaseKey],
 	kindRecall:         decodeAs[Recall],
-	kindKeep:           decodeAs[Keep],
+	kindKeep:           decodeAs[KeyHandover],
 }
 
 func decodeAs[M Message](body []byte) (msg Message, err error) {
--- a/internal/outernames/names_test.go
+++ b/internal/outernames/names_test.go
@@ -56,7 +56,7 @@
 var messages = []message.Message{
 	message.Heartbeat{}, message.Edits{}, message.SnapshotRequest{}, message.Snapshot{}, message.Demand{}, message.Grants{},
 	message.PermitRequest{}, message.PermitTransfer{}, message.Freeze{}, message.Frozen{}, message.TaskQuery{}, message.TaskReply{},
-	message.ReserveKey{}, message.ReserveKeyReply{}, message.ReleaseKey{}, message.Recall{}, message.Keep{},
+	message.ReserveKey{}, message.ReserveKeyReply{}, message.ReleaseKey{}, message.Recall{}, message.KeyHandover{},
 }
 
 // TestNames guards against a renamed field, value or type of message that
