--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -103,9 +103,9 @@
 // be their homes by a change of the voters.
 func (stp *step) handOnKeys(old []string) {
 	for _, hdo := range stp.st.memory.Handovers(stp.now, stp.st.set.ID, old, stp.st.config.VoterIDs()) {
-		var keeps []message.Kept
+		var keeps []message.IdempotencyKey
 		for _, key := range hdo.Keys {
-			keeps = append(keeps, message.Kept{Hash: key.Hash, Owner: key.Owner, AgeMillis: key.Age.Milliseconds()})
+			keeps = append(keeps, message.IdempotencyKey{Hash: key.Hash, Owner: key.Owner, AgeMillis: key.Age.Milliseconds()})
 		}
 		for part := range slices.Chunk(keeps, keysPerMessage) {
 			stp.send(hdo.To, message.KeyHandover{Keys: part})
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -183,11 +183,11 @@
 
 // KeyHandover hands idempotency keys on to a member that came to be their home.
 type KeyHandover struct {
-	Keys []Kept `json:"keys"`
+	Keys []IdempotencyKey `json:"keys"`
 }
 
-// Kept is an idempotency key that a member remembers.
-type Kept struct {
+// IdempotencyKey is an idempotency key that a member remembers.
+type IdempotencyKey struct {
 	Hash  string `json:"h"`
 	Owner string `json:"o"`
 	// AgeMillis is how long ago the key was seen.
--- a/internal/core/message/wire_test.go
+++ b/internal/core/message/wire_test.go
@@ -28,7 +28,7 @@
 	message.ReserveKey{AskID: 2, Hash: "h"},
 	message.ReserveKeyReply{AskID: 2, Hash: "h", Fresh: true},
 	message.ReleaseKey{Hash: "h"},
-	message.KeyHandover{Keys: []message.Kept{{Hash: "h", Owner: "m", AgeMillis: 3}}},
+	message.KeyHandover{Keys: []message.IdempotencyKey{{Hash: "h", Owner: "m", AgeMillis: 3}}},
 }
 
 func TestEncodeKeepsEveryMessage(t *testing.T) {
