--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -136,7 +136,7 @@
 
 // sendHeartbeat tells one peer that the entry lives, and what changed of its
 // spare permits. What was lost on the way is told again when the link is new.
-func (stp *step) sendHeartbeat(to string, spares []message.Spare) {
+func (stp *step) sendHeartbeat(to string, spares []message.SparePermits) {
 	echo, _ := stp.st.echoes.Get(to)
 	hbt := message.Heartbeat{
 		Revision:    stp.st.config.Revision,
--- a/internal/core/entry/permits.go
+++ b/internal/core/entry/permits.go
@@ -143,7 +143,7 @@
 	}
 	stp.send(from, message.PermitTransfer{
 		Totals: stp.st.ledger.SentTo(from),
-		Spare:  []message.Spare{{Team: ask.Team, Permits: stp.spareOf(ask.Team)}},
+		Spare:  []message.SparePermits{{Team: ask.Team, Permits: stp.spareOf(ask.Team)}},
 	})
 }
 
@@ -186,13 +186,13 @@
 
 // changedSpares lists the teams whose spare permits have changed so much since
 // the peers were last told that it matters to whom they turn.
-func (stp *step) changedSpares() []message.Spare {
-	var changed []message.Spare
+func (stp *step) changedSpares() []message.SparePermits {
+	var changed []message.SparePermits
 	for _, tea := range stp.st.config.Tables.Teams {
 		spare := stp.spareOf(tea.Name)
 		told, _ := stp.st.toldSpares.Get(tea.Name)
 		if !isNear(spare, told) {
-			changed = append(changed, message.Spare{Team: tea.Name, Permits: spare})
+			changed = append(changed, message.SparePermits{Team: tea.Name, Permits: spare})
 			stp.st.toldSpares = stp.st.toldSpares.Set(tea.Name, spare)
 		}
 	}
@@ -205,17 +205,17 @@
 }
 
 // toldSpares lists all that the peers were told.
-func (stp *step) toldSpares() []message.Spare {
-	var told []message.Spare
+func (stp *step) toldSpares() []message.SparePermits {
+	var told []message.SparePermits
 	itr := stp.st.toldSpares.Iterator()
 	for !itr.Done() {
 		team, spare, _ := itr.Next()
-		told = append(told, message.Spare{Team: team, Permits: spare})
+		told = append(told, message.SparePermits{Team: team, Permits: spare})
 	}
 	return told
 }
 
-func (stp *step) hearSpares(from string, spares []message.Spare) {
+func (stp *step) hearSpares(from string, spares []message.SparePermits) {
 	for _, spa := range spares {
 		stp.setSpare(spa.Team, from, spa.Permits)
 	}
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -29,15 +29,15 @@
 	Echo      int64 `json:"echo"`
 	Leaving   bool  `json:"leaving,omitempty"`
 	// Spare lists the teams of which the sender has permits to give.
-	Spare []Spare `json:"spare,omitempty"`
+	Spare []SparePermits `json:"spare,omitempty"`
 	// SeenLeaving lists VMs that the sender saw leaving.
 	SeenLeaving []string `json:"seen_leaving,omitempty"`
 	// Gone lists voters that the sender knows to run no more.
 	Gone []string `json:"gone,omitempty"`
 }
 
-// Spare is how many of a team's permits a member could give away.
-type Spare struct {
+// SparePermits is how many of a team's permits a member could give away.
+type SparePermits struct {
 	Team    string `json:"team"`
 	Permits int    `json:"permits"`
 }
@@ -139,7 +139,7 @@
 type PermitTransfer struct {
 	Totals []permit.Total `json:"totals"`
 	// Spare is what the sender still could give of the teams named.
-	Spare []Spare `json:"spare,omitempty"`
+	Spare []SparePermits `json:"spare,omitempty"`
 }
 
 // Freeze asks a member to end transfers with members that are to be removed.
