--- a/internal/core/entry/asks.go
+++ b/internal/core/entry/asks.go
@@ -61,7 +61,7 @@
 	for _, per := range stp.st.view.Peers() {
 		if per.Connected {
 			ask.awaited++
-			stp.send(per.ID, message.TaskQuery{AskID: id, TaskID: evt.TaskID})
+			stp.send(per.ID, message.TaskQuery{RequestID: id, TaskID: evt.TaskID})
 		}
 	}
 	if ask.awaited == 0 {
@@ -81,24 +81,24 @@
 
 func (stp *step) taskAskHeard(from string, msg message.TaskQuery) {
 	rec, ok := stp.st.log.Kept(msg.TaskID)
-	stp.send(from, message.TaskReply{AskID: msg.AskID, Found: ok, Status: rec.Status()})
+	stp.send(from, message.TaskReply{RequestID: msg.RequestID, Found: ok, Status: rec.Status()})
 }
 
 func (stp *step) taskToldHeard(_ string, msg message.TaskReply) {
-	ask, ok := stp.st.asks.tasks.Get(msg.AskID)
+	ask, ok := stp.st.asks.tasks.Get(msg.RequestID)
 	if !ok {
 		return
 	}
 	ask.awaited--
 	switch {
 	case msg.Found:
-		stp.st.asks.tasks = stp.st.asks.tasks.Delete(msg.AskID)
+		stp.st.asks.tasks = stp.st.asks.tasks.Delete(msg.RequestID)
 		stp.tellTask(ask.request, ask.keyHash, msg.Status)
 	case ask.awaited == 0:
-		stp.st.asks.tasks = stp.st.asks.tasks.Delete(msg.AskID)
+		stp.st.asks.tasks = stp.st.asks.tasks.Delete(msg.RequestID)
 		stp.refuseNotRun(ask.request, outcome.CodeUnknownTask, "No entry holds such a task.")
 	default:
-		stp.st.asks.tasks = stp.st.asks.tasks.Set(msg.AskID, ask)
+		stp.st.asks.tasks = stp.st.asks.tasks.Set(msg.RequestID, ask)
 	}
 }
 
--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -50,7 +50,7 @@
 	stp.st.asks.reservations = stp.st.asks.reservations.Set(id, ask)
 	stp.st.asks.reservationOf = stp.st.asks.reservationOf.Set(stp.requestOf(wrk.ID), hash)
 	for _, home := range homes {
-		stp.send(home, message.ReserveKey{AskID: id, Hash: hash})
+		stp.send(home, message.ReserveKey{RequestID: id, Hash: hash})
 	}
 }
 
@@ -58,26 +58,26 @@
 	if stp.st.memory.Len() > sweepAbove && stp.random(sweepAbove) == 0 {
 		stp.st.memory = stp.st.memory.Swept(stp.now)
 	}
-	next, fresh := stp.st.memory.WithUse(stp.now, msg.Hash, from, msg.AskID)
+	next, fresh := stp.st.memory.WithUse(stp.now, msg.Hash, from, msg.RequestID)
 	stp.st.memory = next
-	stp.send(from, message.ReserveKeyReply{AskID: msg.AskID, Hash: msg.Hash, Fresh: fresh})
+	stp.send(from, message.ReserveKeyReply{RequestID: msg.RequestID, Hash: msg.Hash, Fresh: fresh})
 }
 
 func (stp *step) reservedHeard(from string, msg message.ReserveKeyReply) {
-	ask, ok := stp.st.asks.reservations.Get(msg.AskID)
+	ask, ok := stp.st.asks.reservations.Get(msg.RequestID)
 	if !ok || ask.hash != msg.Hash {
 		return
 	}
 	if !msg.Fresh {
-		stp.refuseDuplicate(msg.AskID, ask)
+		stp.refuseDuplicate(msg.RequestID, ask)
 		return
 	}
 	if !slices.Contains(ask.fresh, from) {
 		ask.fresh = append(slices.Clip(ask.fresh), from)
 	}
-	stp.st.asks.reservations = stp.st.asks.reservations.Set(msg.AskID, ask)
+	stp.st.asks.reservations = stp.st.asks.reservations.Set(msg.RequestID, ask)
 	if len(ask.fresh) >= ask.needed && !stp.awaitsHome(ask) {
-		stp.reservationDone(msg.AskID, ask)
+		stp.reservationDone(msg.RequestID, ask)
 	}
 }
 
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -155,30 +155,30 @@
 
 // TaskQuery asks whether a member holds a task.
 type TaskQuery struct {
-	AskID  uint64 `json:"ask"`
-	TaskID string `json:"task"`
+	RequestID uint64 `json:"ask"`
+	TaskID    string `json:"task"`
 }
 
 // TaskReply answers TaskAsk. Found is false when the member does not hold it.
 type TaskReply struct {
-	AskID  uint64      `json:"ask"`
-	Found  bool        `json:"found"`
-	Status task.Status `json:"status"`
+	RequestID uint64      `json:"ask"`
+	Found     bool        `json:"found"`
+	Status    task.Status `json:"status"`
 }
 
 // ReserveKey asks a member to remember that a request with an idempotency key is
 // about to run.
 type ReserveKey struct {
-	AskID uint64 `json:"ask"`
+	RequestID uint64 `json:"ask"`
 	// Hash covers the team and the caller's idempotency key.
 	Hash string `json:"hash"`
 }
 
 // ReserveKeyReply answers Reserve. Fresh is false when the key was seen before.
 type ReserveKeyReply struct {
-	AskID uint64 `json:"ask"`
-	Hash  string `json:"hash"`
-	Fresh bool   `json:"fresh"`
+	RequestID uint64 `json:"ask"`
+	Hash      string `json:"hash"`
+	Fresh     bool   `json:"fresh"`
 }
 
 // KeyHandover hands idempotency keys on to a member that came to be their home.
