--- a/internal/core/dispatch/dispatcher.go
+++ b/internal/core/dispatch/dispatcher.go
@@ -8,8 +8,8 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// GatherFor bounds how long a new dispatcher waits for reports.
-const GatherFor = 500 * time.Millisecond
+// GatherTimeout bounds how long a new dispatcher waits for reports.
+const GatherTimeout = 500 * time.Millisecond
 
 // Dispatcher is the state of one pool's dispatcher. It is immutable.
 type Dispatcher struct {
@@ -117,7 +117,7 @@
 // IsGathering reports whether a live member's report is still awaited. Granting
 // before it came could fill slots that are taken.
 func (dsp Dispatcher) IsGathering(now time.Time, live []string) bool {
-	if now.Sub(dsp.since) >= GatherFor {
+	if now.Sub(dsp.since) >= GatherTimeout {
 		return false
 	}
 	for _, id := range live {
