--- a/internal/core/dispatch/decide.go
+++ b/internal/core/dispatch/decide.go
@@ -15,9 +15,9 @@
 	Grant  message.Grant
 }
 
-// A Rule is what a decision goes by: the pool, the VMs that may be given work,
+// A Input is what a decision goes by: the pool, the VMs that may be given work,
 // and the weight of each team.
-type Rule struct {
+type Input struct {
 	Pool   table.Pool
 	Usable []vm.VM
 	Config *table.Config
@@ -34,7 +34,7 @@
 // teams, and within a team by urgency, then by age. A part of the slots is
 // kept for urgent work. When no slot is left for a team below its share, slots
 // of teams above theirs are recalled.
-func (dsp Dispatcher) Decide(now time.Time, rul Rule) (next Dispatcher, dcs []Decision, rcs []Recall) {
+func (dsp Dispatcher) Decide(now time.Time, rul Input) (next Dispatcher, dcs []Decision, rcs []Recall) {
 	rnd := newRound(dsp, rul)
 	if len(rnd.lanes) == 0 {
 		return dsp, nil, nil
--- a/internal/core/dispatch/round.go
+++ b/internal/core/dispatch/round.go
@@ -43,7 +43,7 @@
 	used int
 }
 
-func newRound(dsp Dispatcher, rul Rule) *round {
+func newRound(dsp Dispatcher, rul Input) *round {
 	rnd := &round{}
 	for _, one := range dsp.trusted(rul.Usable) {
 		rnd.slots = append(rnd.slots, slotState{vm: one.ID, size: one.Slots})
--- a/internal/core/entry/demand.go
+++ b/internal/core/entry/demand.go
@@ -210,12 +210,12 @@
 	}
 }
 
-func (stp *step) ruleOf(pool string) (rul dispatch.Rule, ok bool) {
+func (stp *step) ruleOf(pool string) (rul dispatch.Input, ok bool) {
 	poo, ok := stp.st.config.Pool(pool)
 	if !ok {
-		return dispatch.Rule{}, false
+		return dispatch.Input{}, false
 	}
-	return dispatch.Rule{
+	return dispatch.Input{
 		Pool:   poo,
 		Usable: stp.st.fleet.Usable(stp.st.config, pool),
 		Config: stp.st.config,
