--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -85,22 +85,22 @@
 	return que
 }
 
-// A Count is how much work waits in a lane, and since when the oldest has.
-type Count struct {
+// A LaneBacklog is how much work waits in a lane, and since when the oldest has.
+type LaneBacklog struct {
 	Lane    work.Lane
 	Waiting int
 	Oldest  time.Time
 }
 
 // Counts returns the lanes, the most urgent first, then by team.
-func (que Queue) Counts() []Count {
-	counts := make([]Count, 0, que.lanes.Len())
+func (que Queue) Counts() []LaneBacklog {
+	counts := make([]LaneBacklog, 0, que.lanes.Len())
 	itr := que.lanes.Iterator()
 	for !itr.Done() {
 		lan, places, _ := itr.Next()
 		first := places.Iterator()
 		oldest, _, _ := first.Next()
-		counts = append(counts, Count{Lane: lan, Waiting: places.Len(), Oldest: oldest.arrived})
+		counts = append(counts, LaneBacklog{Lane: lan, Waiting: places.Len(), Oldest: oldest.arrived})
 	}
 	return counts
 }
