--- a/internal/core/entry/demand.go
+++ b/internal/core/entry/demand.go
@@ -92,7 +92,7 @@
 	}
 	left := map[string]int{}
 	var lanes []message.LaneDemand
-	for _, cnt := range own.queue.Counts() {
+	for _, cnt := range own.queue.Backlog() {
 		team := cnt.Lane.Team
 		if _, seen := left[team]; !seen {
 			left[team] = stp.st.Rights(team) - stp.st.Running(team)
--- a/internal/core/entry/grant.go
+++ b/internal/core/entry/grant.go
@@ -83,7 +83,7 @@
 	if left.Reserve {
 		return urgent
 	}
-	for _, cnt := range stp.pool(left.Pool).queue.Counts() {
+	for _, cnt := range stp.pool(left.Pool).queue.Backlog() {
 		if cnt.Lane.Team == left.Team && !cnt.Lane.Retry {
 			return cnt.Lane
 		}
--- a/internal/core/entry/permits.go
+++ b/internal/core/entry/permits.go
@@ -39,7 +39,7 @@
 	itr := stp.st.busy.Iterator()
 	for !itr.Done() {
 		pool, _, _ := itr.Next()
-		for _, cnt := range stp.pool(pool).queue.Counts() {
+		for _, cnt := range stp.pool(pool).queue.Backlog() {
 			if cnt.Lane.Team != team {
 				continue
 			}
--- a/internal/core/entry/request.go
+++ b/internal/core/entry/request.go
@@ -102,7 +102,7 @@
 // refusal late.
 func (stp *step) cannotStartInTime(wrk work.Work) bool {
 	ahead := 0
-	for _, cnt := range stp.pool(wrk.Pool).queue.Counts() {
+	for _, cnt := range stp.pool(wrk.Pool).queue.Backlog() {
 		if cnt.Lane.Team == wrk.Team && cnt.Lane.Urgency.Rank() <= wrk.Urgency.Rank() {
 			ahead += cnt.Waiting
 		}
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -92,8 +92,8 @@
 	Oldest  time.Time
 }
 
-// Counts returns the lanes, the most urgent first, then by team.
-func (que Queue) Counts() []LaneBacklog {
+// Backlog returns the lanes, the most urgent first, then by team.
+func (que Queue) Backlog() []LaneBacklog {
 	counts := make([]LaneBacklog, 0, que.lanes.Len())
 	itr := que.lanes.Iterator()
 	for !itr.Done() {
