--- a/internal/core/entry/request.go
+++ b/internal/core/entry/request.go
@@ -108,7 +108,7 @@
 		}
 	}
 	rate, _ := stp.st.rates.Get(rateKey(wrk))
-	wait, known := rate.Wait(stp.now, ahead)
+	wait, known := rate.EstimateWait(stp.now, ahead)
 	return known && wait > wrk.Deadline.Sub(stp.now)
 }
 
--- a/internal/core/queue/rate.go
+++ b/internal/core/queue/rate.go
@@ -24,9 +24,9 @@
 	return Rate{starts: rat.decayed(now) + 1, at: now}
 }
 
-// Wait returns how long work with so much ahead of it will wait, and whether
+// EstimateWait returns how long work with so much ahead of it will wait, and whether
 // enough has started of late to tell.
-func (rat Rate) Wait(now time.Time, ahead int) (span time.Duration, known bool) {
+func (rat Rate) EstimateWait(now time.Time, ahead int) (span time.Duration, known bool) {
 	starts := rat.decayed(now)
 	if starts < minSample {
 		return 0, false
