--- a/internal/core/entry/state.go
+++ b/internal/core/entry/state.go
@@ -249,5 +249,5 @@
 
 // Rights returns how much work of a team the entry may have running.
 func (sta State) Rights(team string) int {
-	return sta.ledger.Rights(sta.config, team)
+	return sta.ledger.Permits(sta.config, team)
 }
--- a/internal/core/permit/ledger.go
+++ b/internal/core/permit/ledger.go
@@ -35,10 +35,10 @@
 	return Ledger{self: self, accounts: immutable.NewMap[string, account](nil)}
 }
 
-// Rights returns how many pieces of a team's work the entry may have running.
+// Permits returns how many pieces of a team's work the entry may have running.
 // It is negative while the entry is in debt, and zero for an entry that does
 // not vote: only what the configuration names can be reclaimed.
-func (led Ledger) Rights(cfg *table.Config, team string) int {
+func (led Ledger) Permits(cfg *table.Config, team string) int {
 	if _, votes := cfg.Voter(led.self); !votes {
 		return 0
 	}
