--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -11,9 +11,9 @@
 
 // Timing of the freshness rule and of failure detection.
 const (
-	// FreshFor is how long contact with the store or hearing a majority lets
+	// FreshnessTimeout is how long contact with the store or hearing a majority lets
 	// an entry start work.
-	FreshFor = 2 * time.Second
+	FreshnessTimeout = 2 * time.Second
 	// SilentAfter is how long after its last message a member no longer counts
 	// as live. Urgent work that waits for a lost dispatcher must still start
 	// within 1.2 s.
@@ -152,7 +152,7 @@
 // HearsMajority reports whether the entry heard more than half of the voters
 // that are not gone within FreshFor, counting itself when it votes.
 func (vie View) HearsMajority(now time.Time, cfg *table.Config) bool {
-	return vie.isMajority(cfg, func(per Peer) bool { return isWithin(per.ProvenAt, now, FreshFor) })
+	return vie.isMajority(cfg, func(per Peer) bool { return isWithin(per.ProvenAt, now, FreshnessTimeout) })
 }
 
 // isMajority reports whether a condition holds of more than half of the voters
@@ -175,7 +175,7 @@
 // IsFresh reports whether the entry may start work: it had contact with the
 // store, or heard a majority of the voters, within FreshFor.
 func (vie View) IsFresh(now time.Time, cfg *table.Config) bool {
-	if isWithin(vie.storeAt, now, FreshFor) {
+	if isWithin(vie.storeAt, now, FreshnessTimeout) {
 		return true
 	}
 	return vie.HearsMajority(now, cfg)
