--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -59,7 +59,7 @@
 	if !per.HeardAt.Before(stp.now) {
 		return
 	}
-	silent := stp.now.Sub(per.HeardAt) > member.SilentAfter
+	silent := stp.now.Sub(per.HeardAt) > member.LivenessTimeout
 	per.ID, per.HeardAt = from, stp.now
 	stp.st.view = stp.st.view.WithPeer(per)
 	if silent {
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -14,10 +14,10 @@
 	// FreshnessTimeout is how long contact with the store or hearing a majority lets
 	// an entry start work.
 	FreshnessTimeout = 2 * time.Second
-	// SilentAfter is how long after its last message a member no longer counts
+	// LivenessTimeout is how long after its last message a member no longer counts
 	// as live. Urgent work that waits for a lost dispatcher must still start
 	// within 1.2 s.
-	SilentAfter = 600 * time.Millisecond
+	LivenessTimeout = 600 * time.Millisecond
 	// HeartbeatEvery is the time between heartbeats to each peer.
 	HeartbeatEvery = 200 * time.Millisecond
 )
@@ -138,7 +138,7 @@
 func (vie View) Live(now time.Time) []string {
 	ids := make([]string, 0, len(vie.peers)+1)
 	for _, per := range vie.peers {
-		if !per.Leaving && per.Connected && isWithin(per.HeardAt, now, SilentAfter) {
+		if !per.Leaving && per.Connected && isWithin(per.HeardAt, now, LivenessTimeout) {
 			ids = append(ids, per.ID)
 		}
 	}
