--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -103,7 +103,7 @@
 		stp.redirectReports()
 		stp.dropReports()
 	}
-	if stp.now.Sub(stp.st.heartbeatAt) < member.HeartbeatEvery {
+	if stp.now.Sub(stp.st.heartbeatAt) < member.HeartbeatInterval {
 		return
 	}
 	stp.sendHeartbeats()
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -18,8 +18,8 @@
 	// as live. Urgent work that waits for a lost dispatcher must still start
 	// within 1.2 s.
 	LivenessTimeout = 600 * time.Millisecond
-	// HeartbeatEvery is the time between heartbeats to each peer.
-	HeartbeatEvery = 200 * time.Millisecond
+	// HeartbeatInterval is the time between heartbeats to each peer.
+	HeartbeatInterval = 200 * time.Millisecond
 )
 
 // Peer is what an entry knows of another one.
