--- a/internal/core/entry/demand.go
+++ b/internal/core/entry/demand.go
@@ -249,7 +249,7 @@
 // reports the work that it has yet to finish.
 func (stp *step) isReporting(id string) bool {
 	per, ok := stp.st.view.Peer(id)
-	return ok && stp.now.Sub(per.HeardAt) <= member.LivenessTimeout
+	return ok && stp.now.Sub(per.LastSeenAt) <= member.LivenessTimeout
 }
 
 // redirectReports looks at who is live. When that changed, it finds the leader
--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -25,7 +25,7 @@
 
 func (stp *step) peerUp(evt event.PeerUp) {
 	per, _ := stp.st.view.Peer(evt.Member)
-	per.ID, per.AZ, per.Connected, per.HeardAt = evt.Member, evt.AZ, true, stp.now
+	per.ID, per.AZ, per.Connected, per.LastSeenAt = evt.Member, evt.AZ, true, stp.now
 	stp.st.view = stp.st.view.WithPeer(per)
 	stp.record("member", "peer_up", evt.Member, evt.AZ)
 	stp.sendHeartbeat(evt.Member, stp.toldSpares())
@@ -56,11 +56,11 @@
 		return
 	}
 	per, _ := stp.st.view.Peer(from)
-	if !per.HeardAt.Before(stp.now) {
+	if !per.LastSeenAt.Before(stp.now) {
 		return
 	}
-	silent := stp.now.Sub(per.HeardAt) > member.LivenessTimeout
-	per.ID, per.HeardAt = from, stp.now
+	silent := stp.now.Sub(per.LastSeenAt) > member.LivenessTimeout
+	per.ID, per.LastSeenAt = from, stp.now
 	stp.st.view = stp.st.view.WithPeer(per)
 	if silent {
 		stp.redirectReports()
@@ -109,7 +109,7 @@
 	stp.sendHeartbeats()
 	for _, per := range stp.st.view.Peers() {
 		_, votes := stp.st.config.Voter(per.ID)
-		if !votes && !per.Connected && stp.now.Sub(per.HeardAt) > forgetPeerAfter {
+		if !votes && !per.Connected && stp.now.Sub(per.LastSeenAt) > forgetPeerAfter {
 			stp.st.view = stp.st.view.WithoutPeer(per.ID)
 			stp.st.echoes = stp.st.echoes.Delete(per.ID)
 		}
--- a/internal/core/entry/permits.go
+++ b/internal/core/entry/permits.go
@@ -100,7 +100,7 @@
 	var peers []string
 	for _, per := range stp.st.view.Peers() {
 		_, votes := stp.st.config.Voter(per.ID)
-		if votes && stp.now.Sub(per.HeardAt) <= member.LivenessTimeout && !stp.st.ledger.IsFrozen(per.ID) {
+		if votes && stp.now.Sub(per.LastSeenAt) <= member.LivenessTimeout && !stp.st.ledger.IsFrozen(per.ID) {
 			peers = append(peers, per.ID)
 		}
 	}
--- a/internal/core/entry/removal.go
+++ b/internal/core/entry/removal.go
@@ -129,7 +129,7 @@
 // counts for it only when it comes back as an echo.
 func (stp *step) hasStopped(id string) bool {
 	per, known := stp.st.view.Peer(id)
-	return !known || stp.st.view.IsGone(id) || stp.now.Sub(per.HeardAt) >= StopsWithin(stp.st.config)
+	return !known || stp.st.view.IsGone(id) || stp.now.Sub(per.LastSeenAt) >= StopsWithin(stp.st.config)
 }
 
 // dismissed ends the entry: another one takes it for departed and has ended its
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -26,8 +26,8 @@
 type Peer struct {
 	ID string
 	AZ string
-	// HeardAt is when the last message came; it only moves forward.
-	HeardAt time.Time
+	// LastSeenAt is when the last message came; it only moves forward.
+	LastSeenAt time.Time
 	// ProvenAt is when the entry sent the latest heartbeat that the peer has
 	// answered. What the peer reported is at least as new as that, however
 	// long its answer was on the way.
@@ -138,7 +138,7 @@
 func (vie View) Live(now time.Time) []string {
 	ids := make([]string, 0, len(vie.peers)+1)
 	for _, per := range vie.peers {
-		if !per.Leaving && per.Connected && isWithin(per.HeardAt, now, LivenessTimeout) {
+		if !per.Leaving && per.Connected && isWithin(per.LastSeenAt, now, LivenessTimeout) {
 			ids = append(ids, per.ID)
 		}
 	}
