--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -74,7 +74,7 @@
 	per.Leaving = hbt.Leaving
 	per.Revision = max(per.Revision, hbt.Revision)
 	if hbt.Echo > 0 {
-		per.ProvenAt = later(per.ProvenAt, stp.st.started.Add(time.Duration(hbt.Echo)))
+		per.ConfirmedAt = later(per.ConfirmedAt, stp.st.started.Add(time.Duration(hbt.Echo)))
 	}
 	stp.st.view = stp.st.view.WithPeer(per)
 	stp.st.echoes = stp.st.echoes.Set(from, hbt.SentNanos)
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -28,10 +28,10 @@
 	AZ string
 	// LastSeenAt is when the last message came; it only moves forward.
 	LastSeenAt time.Time
-	// ProvenAt is when the entry sent the latest heartbeat that the peer has
+	// ConfirmedAt is when the entry sent the latest heartbeat that the peer has
 	// answered. What the peer reported is at least as new as that, however
 	// long its answer was on the way.
-	ProvenAt time.Time
+	ConfirmedAt time.Time
 	// Revision is the highest configuration revision that the peer reported.
 	Revision int64
 	// Leaving says that the peer is shutting down gracefully.
@@ -152,7 +152,7 @@
 // HearsMajority reports whether the entry heard more than half of the voters
 // that are not gone within FreshFor, counting itself when it votes.
 func (vie View) HearsMajority(now time.Time, cfg *table.Config) bool {
-	return vie.isMajority(cfg, func(per Peer) bool { return isWithin(per.ProvenAt, now, FreshnessTimeout) })
+	return vie.isMajority(cfg, func(per Peer) bool { return isWithin(per.ConfirmedAt, now, FreshnessTimeout) })
 }
 
 // isMajority reports whether a condition holds of more than half of the voters
