--- a/internal/core/entry/edits.go
+++ b/internal/core/entry/edits.go
@@ -126,7 +126,7 @@
 	if _, joins := pnd.change.(table.VoterJoined); joins && len(stp.st.config.Voters) == 0 {
 		return nil
 	}
-	if stp.st.view.HearsMajority(stp.now, stp.st.config) {
+	if stp.st.view.HasQuorum(stp.now, stp.st.config) {
 		return nil
 	}
 	return errors.New("the entry does not hear a majority of the voting members")
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -149,9 +149,9 @@
 	return ids
 }
 
-// HearsMajority reports whether the entry heard more than half of the voters
+// HasQuorum reports whether the entry heard more than half of the voters
 // that are not gone within FreshFor, counting itself when it votes.
-func (vie View) HearsMajority(now time.Time, cfg *table.Config) bool {
+func (vie View) HasQuorum(now time.Time, cfg *table.Config) bool {
 	return vie.isMajority(cfg, func(per Peer) bool { return isWithin(per.ConfirmedAt, now, FreshnessTimeout) })
 }
 
@@ -178,7 +178,7 @@
 	if isWithin(vie.storeAt, now, FreshnessTimeout) {
 		return true
 	}
-	return vie.HearsMajority(now, cfg)
+	return vie.HasQuorum(now, cfg)
 }
 
 // Acknowledged reports whether a majority of the voters that are not gone
