--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -65,8 +65,8 @@
 // Leaving reports whether the entry itself is shutting down.
 func (vie View) Leaving() bool { return vie.leaving }
 
-// StoreAt returns when the store last answered.
-func (vie View) StoreAt() time.Time { return vie.storeAt }
+// StoreContactAt returns when the store last answered.
+func (vie View) StoreContactAt() time.Time { return vie.storeAt }
 
 // Peers returns the known peers, sorted by ID. The caller must not change the
 // slice.
