--- a/internal/core/entry/state.go
+++ b/internal/core/entry/state.go
@@ -115,7 +115,7 @@
 	logs logState
 	asks askState
 	// memory holds the idempotency keys that this entry is a home of.
-	memory    idempotency.Memory
+	memory    idempotency.Registry
 	draining  drainState
 	plannedAt time.Time
 	// plannedFor is what the last plan without moves was made from.
--- a/internal/core/idempotency/memory.go
+++ b/internal/core/idempotency/memory.go
@@ -22,8 +22,8 @@
 	KeepFor = 10 * time.Minute
 )
 
-// Memory is what one member remembers. It is immutable.
-type Memory struct {
+// Registry is what one member remembers. It is immutable.
+type Registry struct {
 	// keys maps a hash of team and key to its first use.
 	keys *immutable.Map[string, use]
 }
@@ -36,16 +36,16 @@
 }
 
 // NewMemory returns a memory without keys.
-func NewMemory() Memory {
-	return Memory{keys: immutable.NewMap[string, use](nil)}
+func NewMemory() Registry {
+	return Registry{keys: immutable.NewMap[string, use](nil)}
 }
 
 // Len returns how many keys are remembered.
-func (mem Memory) Len() int { return mem.keys.Len() }
+func (mem Registry) Len() int { return mem.keys.Len() }
 
 // WithUse returns the memory after an entry asked for a key, and whether the key
 // is new. Asking again with the same number gets the same answer.
-func (mem Memory) WithUse(now time.Time, hash, owner string, ask uint64) (next Memory, fresh bool) {
+func (mem Registry) WithUse(now time.Time, hash, owner string, ask uint64) (next Registry, fresh bool) {
 	old, seen := mem.keys.Get(hash)
 	fresh = !seen || now.Sub(old.at) > KeepFor || (old.owner == owner && old.ask == ask)
 	if fresh {
@@ -56,7 +56,7 @@
 
 // WithoutUse returns the memory after the owner of a key said that its request
 // was certainly not run.
-func (mem Memory) WithoutUse(hash, owner string) Memory {
+func (mem Registry) WithoutUse(hash, owner string) Registry {
 	if old, seen := mem.keys.Get(hash); seen && old.owner == owner {
 		mem.keys = mem.keys.Delete(hash)
 	}
@@ -72,7 +72,7 @@
 }
 
 // WithKeys returns the memory with keys that another member handed on.
-func (mem Memory) WithKeys(now time.Time, keys []Key) Memory {
+func (mem Registry) WithKeys(now time.Time, keys []Key) Registry {
 	for _, key := range keys {
 		if _, seen := mem.keys.Get(key.Hash); !seen {
 			mem.keys = mem.keys.Set(key.Hash, use{owner: key.Owner, at: now.Add(-key.Age)})
@@ -82,7 +82,7 @@
 }
 
 // Swept returns the memory without the keys that are too old.
-func (mem Memory) Swept(now time.Time) Memory {
+func (mem Registry) Swept(now time.Time) Registry {
 	itr := mem.keys.Iterator()
 	for !itr.Done() {
 		hash, old, _ := itr.Next()
@@ -111,7 +111,7 @@
 
 // Handovers returns what the members must learn that came to be the homes of keys
 // by a change of the voters, sorted by member and hash.
-func (mem Memory) Handovers(now time.Time, self string, old, next []string) []Handover {
+func (mem Registry) Handovers(now time.Time, self string, old, next []string) []Handover {
 	byHome := map[string][]Key{}
 	itr := mem.keys.Iterator()
 	for !itr.Done() {
--- a/internal/core/idempotency/memory_test.go
+++ b/internal/core/idempotency/memory_test.go
@@ -38,7 +38,7 @@
 // hands keys on each time.
 func TestEveryHomeKnowsItsKeysAfterVotersChange(t *testing.T) {
 	voters := []string{"m0", "m1", "m2", "m3", "m4"}
-	memories := map[string]idempotency.Memory{}
+	memories := map[string]idempotency.Registry{}
 	for _, id := range voters {
 		memories[id] = idempotency.NewMemory()
 	}
