--- a/internal/core/entry/state.go
+++ b/internal/core/entry/state.go
@@ -230,7 +230,7 @@
 		log:        task.NewLog(),
 		asks:       newAskState(),
 		logs:       newLogState(),
-		memory:     idempotency.NewMemory(),
+		memory:     idempotency.NewRegistry(),
 		store:      newStoreState(),
 	}
 }
--- a/internal/core/idempotency/memory.go
+++ b/internal/core/idempotency/memory.go
@@ -35,8 +35,8 @@
 	at    time.Time
 }
 
-// NewMemory returns a memory without keys.
-func NewMemory() Registry {
+// NewRegistry returns a memory without keys.
+func NewRegistry() Registry {
 	return Registry{keys: immutable.NewMap[string, use](nil)}
 }
 
--- a/internal/core/idempotency/memory_test.go
+++ b/internal/core/idempotency/memory_test.go
@@ -13,7 +13,7 @@
 var noon = time.Date(2026, 12, 4, 12, 0, 0, 0, time.UTC)
 
 func TestKeyIsNewOnce(t *testing.T) {
-	mem := idempotency.NewMemory()
+	mem := idempotency.NewRegistry()
 	mem, fresh := mem.WithUse(noon, "k", "a", 1)
 	assert.Assert(t, fresh)
 	_, fresh = mem.WithUse(noon, "k", "a", 1)
@@ -27,7 +27,7 @@
 }
 
 func TestOnlyTheOwnerReleasesAKey(t *testing.T) {
-	mem, _ := idempotency.NewMemory().WithUse(noon, "k", "a", 1)
+	mem, _ := idempotency.NewRegistry().WithUse(noon, "k", "a", 1)
 	_, fresh := mem.WithoutUse("k", "b").WithUse(noon, "k", "b", 1)
 	assert.Assert(t, !fresh)
 	_, fresh = mem.WithoutUse("k", "a").WithUse(noon, "k", "b", 1)
@@ -40,7 +40,7 @@
 	voters := []string{"m0", "m1", "m2", "m3", "m4"}
 	memories := map[string]idempotency.Registry{}
 	for _, id := range voters {
-		memories[id] = idempotency.NewMemory()
+		memories[id] = idempotency.NewRegistry()
 	}
 	var hashes []string
 	for i := range 50 {
@@ -52,7 +52,7 @@
 	}
 	for i := range 10 {
 		next := append(slices.Clone(voters[1:]), fmt.Sprint("new", i))
-		memories[next[4]] = idempotency.NewMemory()
+		memories[next[4]] = idempotency.NewRegistry()
 		for _, id := range voters[1:] {
 			for _, hdo := range memories[id].Handovers(noon, id, voters, next) {
 				memories[hdo.To] = memories[hdo.To].WithKeys(noon, hdo.Keys)
