--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -37,7 +37,7 @@
 func (stp *step) reserve(wrk work.Work, idempotencyKey string) {
 	sum := sha256.Sum256([]byte(wrk.Team + "\x00" + idempotencyKey))
 	hash := hex.EncodeToString(sum[:])
-	homes := idempotency.Homes(stp.st.config.VoterIDs(), hash)
+	homes := idempotency.Replicas(stp.st.config.VoterIDs(), hash)
 	if len(homes) == 0 {
 		stp.refuseNotRun(stp.requestOf(wrk.ID), outcome.CodeNoFreshConfig, "No voting member can remember the idempotency key.")
 		stp.forget(wrk)
@@ -145,7 +145,7 @@
 		return
 	}
 	stp.st.asks.reservationOf = stp.st.asks.reservationOf.Delete(request)
-	for _, home := range idempotency.Homes(stp.st.config.VoterIDs(), hash) {
+	for _, home := range idempotency.Replicas(stp.st.config.VoterIDs(), hash) {
 		stp.send(home, message.ReleaseKey{Hash: hash})
 	}
 }
--- a/internal/core/idempotency/memory.go
+++ b/internal/core/idempotency/memory.go
@@ -93,9 +93,9 @@
 	return mem
 }
 
-// Homes returns the voters that remember a key: those that come first in the
+// Replicas returns the voters that remember a key: those that come first in the
 // rendezvous order of its hash.
-func Homes(voters []string, hash string) []string {
+func Replicas(voters []string, hash string) []string {
 	ids := slices.Clone(voters)
 	slices.SortFunc(ids, func(a, b string) int {
 		return cmp.Compare(member.Score(b, hash), member.Score(a, hash))
@@ -120,8 +120,8 @@
 		if age > KeepFor {
 			continue
 		}
-		was := Homes(old, hash)
-		for _, home := range Homes(next, hash) {
+		was := Replicas(old, hash)
+		for _, home := range Replicas(next, hash) {
 			if home != self && !slices.Contains(was, home) {
 				byHome[home] = append(byHome[home], Key{Hash: hash, Owner: one.owner, Age: age})
 			}
--- a/internal/core/idempotency/memory_test.go
+++ b/internal/core/idempotency/memory_test.go
@@ -46,7 +46,7 @@
 	for i := range 50 {
 		hash := fmt.Sprint("hash", i)
 		hashes = append(hashes, hash)
-		for _, home := range idempotency.Homes(voters, hash) {
+		for _, home := range idempotency.Replicas(voters, hash) {
 			memories[home], _ = memories[home].WithUse(noon, hash, "owner", 1)
 		}
 	}
@@ -61,7 +61,7 @@
 		voters = next
 	}
 	for _, hash := range hashes {
-		for _, home := range idempotency.Homes(voters, hash) {
+		for _, home := range idempotency.Replicas(voters, hash) {
 			_, fresh := memories[home].WithUse(noon, hash, "other", 1)
 			assert.Assert(t, !fresh, "%s is new at %s", hash, home)
 		}
