--- a/internal/core/idempotency/memory.go
+++ b/internal/core/idempotency/memory.go
@@ -18,8 +18,8 @@
 const (
 	// copies is how many members remember a key.
 	copies = 3
-	// KeepFor is how long a key is remembered.
-	KeepFor = 10 * time.Minute
+	// KeyRetention is how long a key is remembered.
+	KeyRetention = 10 * time.Minute
 )
 
 // Registry is what one member remembers. It is immutable.
@@ -47,7 +47,7 @@
 // is new. Asking again with the same number gets the same answer.
 func (mem Registry) WithUse(now time.Time, hash, owner string, ask uint64) (next Registry, fresh bool) {
 	old, seen := mem.keys.Get(hash)
-	fresh = !seen || now.Sub(old.at) > KeepFor || (old.owner == owner && old.ask == ask)
+	fresh = !seen || now.Sub(old.at) > KeyRetention || (old.owner == owner && old.ask == ask)
 	if fresh {
 		mem.keys = mem.keys.Set(hash, use{owner: owner, ask: ask, at: now})
 	}
@@ -86,7 +86,7 @@
 	itr := mem.keys.Iterator()
 	for !itr.Done() {
 		hash, old, _ := itr.Next()
-		if now.Sub(old.at) > KeepFor {
+		if now.Sub(old.at) > KeyRetention {
 			mem.keys = mem.keys.Delete(hash)
 		}
 	}
@@ -117,7 +117,7 @@
 	for !itr.Done() {
 		hash, one, _ := itr.Next()
 		age := now.Sub(one.at)
-		if age > KeepFor {
+		if age > KeyRetention {
 			continue
 		}
 		was := Replicas(old, hash)
--- a/internal/core/idempotency/memory_test.go
+++ b/internal/core/idempotency/memory_test.go
@@ -22,7 +22,7 @@
 	assert.Assert(t, !fresh)
 	_, fresh = mem.WithUse(noon, "k", "b", 1)
 	assert.Assert(t, !fresh)
-	_, fresh = mem.WithUse(noon.Add(idempotency.KeepFor+1), "k", "b", 1)
+	_, fresh = mem.WithUse(noon.Add(idempotency.KeyRetention+1), "k", "b", 1)
 	assert.Assert(t, fresh)
 }
 
