--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -56,7 +56,7 @@
 
 func (stp *step) reserveHeard(from string, msg message.ReserveKey) {
 	if stp.st.memory.Len() > sweepAbove && stp.random(sweepAbove) == 0 {
-		stp.st.memory = stp.st.memory.Swept(stp.now)
+		stp.st.memory = stp.st.memory.WithoutExpired(stp.now)
 	}
 	next, fresh := stp.st.memory.WithUse(stp.now, msg.Hash, from, msg.RequestID)
 	stp.st.memory = next
--- a/internal/core/idempotency/memory.go
+++ b/internal/core/idempotency/memory.go
@@ -81,8 +81,8 @@
 	return mem
 }
 
-// Swept returns the memory without the keys that are too old.
-func (mem Registry) Swept(now time.Time) Registry {
+// WithoutExpired returns the memory without the keys that are too old.
+func (mem Registry) WithoutExpired(now time.Time) Registry {
 	itr := mem.keys.Iterator()
 	for !itr.Done() {
 		hash, old, _ := itr.Next()
