--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -58,7 +58,7 @@
 	if stp.st.memory.Len() > sweepAbove && stp.random(sweepAbove) == 0 {
 		stp.st.memory = stp.st.memory.WithoutExpired(stp.now)
 	}
-	next, fresh := stp.st.memory.WithUse(stp.now, msg.Hash, from, msg.RequestID)
+	next, fresh := stp.st.memory.WithReservation(stp.now, msg.Hash, from, msg.RequestID)
 	stp.st.memory = next
 	stp.send(from, message.ReserveKeyReply{RequestID: msg.RequestID, Hash: msg.Hash, Fresh: fresh})
 }
--- a/internal/core/idempotency/memory.go
+++ b/internal/core/idempotency/memory.go
@@ -43,9 +43,9 @@
 // Len returns how many keys are remembered.
 func (mem Registry) Len() int { return mem.keys.Len() }
 
-// WithUse returns the memory after an entry asked for a key, and whether the key
+// WithReservation returns the memory after an entry asked for a key, and whether the key
 // is new. Asking again with the same number gets the same answer.
-func (mem Registry) WithUse(now time.Time, hash, owner string, ask uint64) (next Registry, fresh bool) {
+func (mem Registry) WithReservation(now time.Time, hash, owner string, ask uint64) (next Registry, fresh bool) {
 	old, seen := mem.keys.Get(hash)
 	fresh = !seen || now.Sub(old.at) > KeyRetention || (old.owner == owner && old.ask == ask)
 	if fresh {
--- a/internal/core/idempotency/memory_test.go
+++ b/internal/core/idempotency/memory_test.go
@@ -14,23 +14,23 @@
 
 func TestKeyIsNewOnce(t *testing.T) {
 	mem := idempotency.NewRegistry()
-	mem, fresh := mem.WithUse(noon, "k", "a", 1)
+	mem, fresh := mem.WithReservation(noon, "k", "a", 1)
 	assert.Assert(t, fresh)
-	_, fresh = mem.WithUse(noon, "k", "a", 1)
+	_, fresh = mem.WithReservation(noon, "k", "a", 1)
 	assert.Assert(t, fresh, "the same question gets the same answer")
-	_, fresh = mem.WithUse(noon, "k", "a", 2)
+	_, fresh = mem.WithReservation(noon, "k", "a", 2)
 	assert.Assert(t, !fresh)
-	_, fresh = mem.WithUse(noon, "k", "b", 1)
+	_, fresh = mem.WithReservation(noon, "k", "b", 1)
 	assert.Assert(t, !fresh)
-	_, fresh = mem.WithUse(noon.Add(idempotency.KeyRetention+1), "k", "b", 1)
+	_, fresh = mem.WithReservation(noon.Add(idempotency.KeyRetention+1), "k", "b", 1)
 	assert.Assert(t, fresh)
 }
 
 func TestOnlyTheOwnerReleasesAKey(t *testing.T) {
-	mem, _ := idempotency.NewRegistry().WithUse(noon, "k", "a", 1)
-	_, fresh := mem.WithoutUse("k", "b").WithUse(noon, "k", "b", 1)
+	mem, _ := idempotency.NewRegistry().WithReservation(noon, "k", "a", 1)
+	_, fresh := mem.WithoutUse("k", "b").WithReservation(noon, "k", "b", 1)
 	assert.Assert(t, !fresh)
-	_, fresh = mem.WithoutUse("k", "a").WithUse(noon, "k", "b", 1)
+	_, fresh = mem.WithoutUse("k", "a").WithReservation(noon, "k", "b", 1)
 	assert.Assert(t, fresh)
 }
 
@@ -47,7 +47,7 @@
 		hash := fmt.Sprint("hash", i)
 		hashes = append(hashes, hash)
 		for _, home := range idempotency.Replicas(voters, hash) {
-			memories[home], _ = memories[home].WithUse(noon, hash, "owner", 1)
+			memories[home], _ = memories[home].WithReservation(noon, hash, "owner", 1)
 		}
 	}
 	for i := range 10 {
@@ -62,7 +62,7 @@
 	}
 	for _, hash := range hashes {
 		for _, home := range idempotency.Replicas(voters, hash) {
-			_, fresh := memories[home].WithUse(noon, hash, "other", 1)
+			_, fresh := memories[home].WithReservation(noon, hash, "other", 1)
 			assert.Assert(t, !fresh, "%s is new at %s", hash, home)
 		}
 	}
