--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -151,7 +151,7 @@
 }
 
 func (stp *step) releaseHeard(from string, msg message.ReleaseKey) {
-	stp.st.memory = stp.st.memory.WithoutUse(msg.Hash, from)
+	stp.st.memory = stp.st.memory.WithoutReservation(msg.Hash, from)
 }
 
 func (stp *step) tickReservations() {
--- a/internal/core/idempotency/memory.go
+++ b/internal/core/idempotency/memory.go
@@ -54,9 +54,9 @@
 	return mem, fresh
 }
 
-// WithoutUse returns the memory after the owner of a key said that its request
+// WithoutReservation returns the memory after the owner of a key said that its request
 // was certainly not run.
-func (mem Registry) WithoutUse(hash, owner string) Registry {
+func (mem Registry) WithoutReservation(hash, owner string) Registry {
 	if old, seen := mem.keys.Get(hash); seen && old.owner == owner {
 		mem.keys = mem.keys.Delete(hash)
 	}
--- a/internal/core/idempotency/memory_test.go
+++ b/internal/core/idempotency/memory_test.go
@@ -28,9 +28,9 @@
 
 func TestOnlyTheOwnerReleasesAKey(t *testing.T) {
 	mem, _ := idempotency.NewRegistry().WithReservation(noon, "k", "a", 1)
-	_, fresh := mem.WithoutUse("k", "b").WithReservation(noon, "k", "b", 1)
+	_, fresh := mem.WithoutReservation("k", "b").WithReservation(noon, "k", "b", 1)
 	assert.Assert(t, !fresh)
-	_, fresh = mem.WithoutUse("k", "a").WithReservation(noon, "k", "b", 1)
+	_, fresh = mem.WithoutReservation("k", "a").WithReservation(noon, "k", "b", 1)
 	assert.Assert(t, fresh)
 }
 
