--- a/internal/core/entry/asks.go
+++ b/internal/core/entry/asks.go
@@ -51,7 +51,7 @@
 }
 
 func (stp *step) taskAsked(evt event.TaskQueried) {
-	if rec, ok := stp.st.log.Kept(evt.TaskID); ok {
+	if rec, ok := stp.st.log.Stored(evt.TaskID); ok {
 		stp.tellTask(evt.Request, evt.KeyHash, rec.Status())
 		return
 	}
@@ -80,7 +80,7 @@
 }
 
 func (stp *step) taskAskHeard(from string, msg message.TaskQuery) {
-	rec, ok := stp.st.log.Kept(msg.TaskID)
+	rec, ok := stp.st.log.Stored(msg.TaskID)
 	stp.send(from, message.TaskReply{RequestID: msg.RequestID, Found: ok, Status: rec.Status()})
 }
 
--- a/internal/core/entry/outcome_test.go
+++ b/internal/core/entry/outcome_test.go
@@ -229,7 +229,7 @@
 
 func (out *outcomes) isEnded(id string) bool {
 	for _, nod := range out.live() {
-		if rec, ok := nod.state.log.Kept(id); ok && rec.State.IsFinal() {
+		if rec, ok := nod.state.log.Stored(id); ok && rec.State.IsFinal() {
 			return true
 		}
 	}
--- a/internal/core/entry/task_test.go
+++ b/internal/core/entry/task_test.go
@@ -108,7 +108,7 @@
 		if vms[0] == "wk000" {
 			wasted++
 		}
-		rec, _ := drv.nodes[i%3].state.log.Kept(id)
+		rec, _ := drv.nodes[i%3].state.log.Stored(id)
 		assert.Equal(t, rec.State, task.StateDone, "%s ran on %v", id, vms)
 	}
 	t.Logf("%d of %d tasks were tried on the failing worker", wasted, tasks)
--- a/internal/core/entry/tasks.go
+++ b/internal/core/entry/tasks.go
@@ -269,7 +269,7 @@
 }
 
 func (stp *step) taskCancelled(evt event.TaskCancelled) {
-	rec, ok := stp.st.log.Kept(evt.TaskID)
+	rec, ok := stp.st.log.Stored(evt.TaskID)
 	id, active := stp.st.tasks.Get(evt.TaskID)
 	if !ok || !stp.mayAsk(rec.Team, rec.Queue, evt.KeyHash) {
 		stp.refuseNotRun(evt.Request, outcome.CodeUnknownTask, "This entry holds no such task.")
--- a/internal/core/task/log.go
+++ b/internal/core/task/log.go
@@ -44,8 +44,8 @@
 	return Log{kept: immutable.NewSortedMap[string, Record](nil)}
 }
 
-// Kept returns a record that the store has.
-func (log Log) Kept(id string) (rec Record, ok bool) {
+// Stored returns a record that the store has.
+func (log Log) Stored(id string) (rec Record, ok bool) {
 	return log.kept.Get(id)
 }
 
