--- a/internal/core/task/log.go
+++ b/internal/core/task/log.go
@@ -49,8 +49,8 @@
 	return log.kept.Get(id)
 }
 
-// KeptCount returns the number of tasks of which the store has a record.
-func (log Log) KeptCount() int { return log.kept.Len() }
+// StoredCount returns the number of tasks of which the store has a record.
+func (log Log) StoredCount() int { return log.kept.Len() }
 
 // Latest returns the newest record of a task, kept or not.
 func (log Log) Latest(id string) (rec Record, ok bool) {
