--- a/internal/core/entry/tasklog.go
+++ b/internal/core/entry/tasklog.go
@@ -55,7 +55,7 @@
 	}
 	switch {
 	case stp.st.log.PendingCount() > 0:
-		stp.st.log = stp.st.log.WithFlight(stp.now)
+		stp.st.log = stp.st.log.WithInFlight(stp.now)
 		stp.writeSegment()
 	case stp.st.log.NeedsCompaction():
 		stp.compactLog()
--- a/internal/core/task/log.go
+++ b/internal/core/task/log.go
@@ -85,9 +85,9 @@
 	return log, removed
 }
 
-// WithFlight returns the log with as many pending records in flight as one
+// WithInFlight returns the log with as many pending records in flight as one
 // segment holds.
-func (log Log) WithFlight(now time.Time) Log {
+func (log Log) WithInFlight(now time.Time) Log {
 	size, count := 0, 0
 	for _, rec := range log.pending {
 		size += len(rec.Payload) + len(rec.Result) + recordOverhead
