--- a/internal/core/entry/adoption.go
+++ b/internal/core/entry/adoption.go
@@ -95,5 +95,5 @@
 // owner by now.
 func (stp *step) abandonAdoption() {
 	stp.st.logs.adopting = ""
-	stp.st.log = stp.st.log.WithoutFlight()
+	stp.st.log = stp.st.log.WithoutInFlight()
 }
--- a/internal/core/task/log.go
+++ b/internal/core/task/log.go
@@ -187,8 +187,8 @@
 	return log
 }
 
-// WithoutFlight returns the log after the records in flight were given up.
-func (log Log) WithoutFlight() Log {
+// WithoutInFlight returns the log after the records in flight were given up.
+func (log Log) WithoutInFlight() Log {
 	log.flight = nil
 	return log
 }
