--- a/internal/core/entry/adoption.go
+++ b/internal/core/entry/adoption.go
@@ -81,7 +81,7 @@
 	for _, kvl := range vls.Values {
 		segments = append(segments, kvl.Value)
 	}
-	recs, err := task.Fold(segments)
+	recs, err := task.Replay(segments)
 	if err != nil {
 		stp.record("task", "log_unreadable", owner, err.Error())
 		return
--- a/internal/core/task/log.go
+++ b/internal/core/task/log.go
@@ -159,9 +159,9 @@
 	return json.Marshal(recs)
 }
 
-// Fold reads the segments of a log, in their order, and returns the last
+// Replay reads the segments of a log, in their order, and returns the last
 // record of each task, by ID.
-func Fold(segments [][]byte) (recs []Record, err error) {
+func Replay(segments [][]byte) (recs []Record, err error) {
 	latest := map[string]Record{}
 	for i, segment := range segments {
 		var part []Record
