--- a/internal/core/task/log.go
+++ b/internal/core/task/log.go
@@ -12,9 +12,9 @@
 
 // Bounds of the log.
 const (
-	// SegmentBytes bounds the records of one write, far below the megabyte
+	// MaxSegmentBytes bounds the records of one write, far below the megabyte
 	// that the store holds in a value.
-	SegmentBytes = 256 << 10
+	MaxSegmentBytes = 256 << 10
 	// CompactAfter is the number of segments after which the log is rewritten.
 	CompactAfter = 64
 	// KeepResults is how long a finished task can be asked for.
@@ -91,7 +91,7 @@
 	size, count := 0, 0
 	for _, rec := range log.pending {
 		size += len(rec.Payload) + len(rec.Result) + recordOverhead
-		if count > 0 && size > SegmentBytes {
+		if count > 0 && size > MaxSegmentBytes {
 			break
 		}
 		count++
@@ -138,7 +138,7 @@
 		size += len(rec.Payload) + len(rec.Result) + recordOverhead
 		recs = append(recs, rec)
 	}
-	if size > SegmentBytes {
+	if size > MaxSegmentBytes {
 		return log, false
 	}
 	log.kept = kept
