--- a/internal/core/task/log.go
+++ b/internal/core/task/log.go
@@ -15,8 +15,8 @@
 	// MaxSegmentBytes bounds the records of one write, far below the megabyte
 	// that the store holds in a value.
 	MaxSegmentBytes = 256 << 10
-	// CompactAfter is the number of segments after which the log is rewritten.
-	CompactAfter = 64
+	// CompactionThreshold is the number of segments after which the log is rewritten.
+	CompactionThreshold = 64
 	// KeepResults is how long a finished task can be asked for.
 	KeepResults = time.Hour
 )
@@ -118,7 +118,7 @@
 // NeedsCompaction reports whether the log has so many segments that it should
 // be rewritten.
 func (log Log) NeedsCompaction() bool {
-	return log.Seq-log.Oldest > CompactAfter
+	return log.Seq-log.Oldest > CompactionThreshold
 }
 
 // WithCompaction returns the log with a rewrite of all that is kept in flight.
