--- a/internal/core/task/log.go
+++ b/internal/core/task/log.go
@@ -17,8 +17,8 @@
 	MaxSegmentBytes = 256 << 10
 	// CompactionThreshold is the number of segments after which the log is rewritten.
 	CompactionThreshold = 64
-	// KeepResults is how long a finished task can be asked for.
-	KeepResults = time.Hour
+	// ResultRetention is how long a finished task can be asked for.
+	ResultRetention = time.Hour
 )
 
 // Log is an entry's record of the tasks that it owns. It is immutable.
@@ -131,7 +131,7 @@
 	itr := log.kept.Iterator()
 	for !itr.Done() {
 		id, rec, _ := itr.Next()
-		if rec.State.IsFinal() && now.Sub(rec.EndedAt) > KeepResults {
+		if rec.State.IsFinal() && now.Sub(rec.EndedAt) > ResultRetention {
 			kept = kept.Delete(id)
 			continue
 		}
