--- a/internal/core/entry/configuration.go
+++ b/internal/core/entry/configuration.go
@@ -109,12 +109,12 @@
 
 func (stp *step) recordAZs(old, cfg *table.Config) {
 	for _, az := range cfg.Tables.AZsOut {
-		if !old.IsOut(az) {
+		if !old.IsAZOut(az) {
 			stp.record("az", "az_out", az, "")
 		}
 	}
 	for _, az := range old.Tables.AZsOut {
-		if !cfg.IsOut(az) {
+		if !cfg.IsAZOut(az) {
 			stp.record("az", "az_in", az, "")
 		}
 	}
--- a/internal/core/entry/grant.go
+++ b/internal/core/entry/grant.go
@@ -119,7 +119,7 @@
 		return vm.VM{}, false
 	}
 	target, ok = stp.st.fleet.VM(vmID)
-	if !ok || stp.st.config.PoolOf(vmID) != pool || stp.st.config.IsOut(target.AZ) || stp.st.fleet.IsLeaving(vmID) {
+	if !ok || stp.st.config.PoolOf(vmID) != pool || stp.st.config.IsAZOut(target.AZ) || stp.st.fleet.IsLeaving(vmID) {
 		return vm.VM{}, false
 	}
 	return target, true
--- a/internal/core/vm/vm.go
+++ b/internal/core/vm/vm.go
@@ -108,7 +108,7 @@
 	var usable []VM
 	for _, id := range cfg.VMsOf(pool) {
 		one, ok := fle.vms.Get(id)
-		if ok && !fle.IsLeaving(one.ID) && !cfg.IsOut(one.AZ) {
+		if ok && !fle.IsLeaving(one.ID) && !cfg.IsAZOut(one.AZ) {
 			usable = append(usable, one)
 		}
 	}
--- a/pkg/table/config.go
+++ b/pkg/table/config.go
@@ -213,8 +213,8 @@
 	return cfg.ind.poolVMs[pool]
 }
 
-// IsOut reports whether operators took an availability zone out.
-func (cfg *Config) IsOut(az string) bool {
+// IsAZOut reports whether operators took an availability zone out.
+func (cfg *Config) IsAZOut(az string) bool {
 	return cfg.ind.azsOut[az]
 }
 
