--- a/internal/core/entry/removal.go
+++ b/internal/core/entry/removal.go
@@ -62,7 +62,7 @@
 // nothing: it stops starting work once its configuration is no longer fresh,
 // its requests end with their deadlines, and its tasks with their leases.
 func StopsWithin(cfg *table.Config) time.Duration {
-	return member.FreshnessTimeout + max(cfg.Tables.LongestRequest(), TaskLease) + stopMargin
+	return member.FreshnessTimeout + max(cfg.Tables.LongestRequestDeadline(), TaskLease) + stopMargin
 }
 
 func (stp *step) tickRemoval() {
--- a/pkg/table/change.go
+++ b/pkg/table/change.go
@@ -288,8 +288,8 @@
 	return nil
 }
 
-// LongestRequest returns the longest that any request may wait and run.
-func (tbs Tables) LongestRequest() time.Duration {
+// LongestRequestDeadline returns the longest that any request may wait and run.
+func (tbs Tables) LongestRequestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, rou := range tbs.Routes {
 		if rou.Kind == KindRequest {
