--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -181,7 +181,7 @@
 }
 
 func writeRefusal(wrt http.ResponseWriter, ref outcome.Refusal) {
-	writeOutcome(wrt, ref.Code.Status(), ref.Outcome, ref)
+	writeOutcome(wrt, ref.Code.HTTPStatus(), ref.Outcome, ref)
 }
 
 func writeOutcome(wrt http.ResponseWriter, status int, out outcome.Outcome, body any) {
--- a/internal/runner/operators.go
+++ b/internal/runner/operators.go
@@ -176,7 +176,7 @@
 	if ans.Accepted {
 		rsp.Key = secret
 	} else {
-		status = ans.Code.Status()
+		status = ans.Code.HTTPStatus()
 	}
 	writeJSON(wrt, status, rsp)
 }
--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -48,8 +48,8 @@
 	CodeAcceptanceUnknown Code = "acceptance_unknown"
 )
 
-// Status returns the HTTP status that goes with a code.
-func (cod Code) Status() int {
+// HTTPStatus returns the HTTP status that goes with a code.
+func (cod Code) HTTPStatus() int {
 	switch cod {
 	case CodeUnauthorized:
 		return http.StatusUnauthorized
