--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -1,5 +1,8 @@
-// Package event defines all that can happen to an entry. The reducer hears of
-// the clock, the network, the store and the callers only through these.
+// Package event defines the inputs of an entry's reducer. Clock, network, store
+// and callers reach the reducer only as events.
+//
+// A VM is a machine of the platform. The process that it runs is an executor,
+// the upstream of requests, or a worker, which runs tasks.
 package event
 
 import (
@@ -12,71 +15,72 @@
 	"github.com/balsamgauge/balsamgauge/pkg/table"
 )
 
-// An Event is one thing that happened.
+// An Event is one input of the reducer.
 type Event interface{ isEvent() }
 
-// How often a driver must feed Tick; State.TickWithin tells which of the two
-// holds.
+// Intervals at which a driver must feed Tick; State.TickWithin returns the one
+// that applies.
 const (
-	// TickInterval is while something waits.
+	// TickInterval applies while work waits or a write to the store is pending.
 	TickInterval = 5 * time.Millisecond
-	// IdleTickInterval is while nothing does.
+	// IdleTickInterval applies otherwise.
 	IdleTickInterval = 50 * time.Millisecond
 )
 
 // Started is the first event of an entry.
 type Started struct{}
 
-// Tick tells the time. Deadlines, heartbeats and retries go by it.
+// Tick advances time. Deadlines, heartbeats and retries are checked on it.
 type Tick struct{}
 
-// RequestArrived is a caller's request. Its body stays with the driver.
+// RequestArrived is a caller's request. The driver keeps its body.
 type RequestArrived struct {
-	// Request is the driver's own name for it, unique within the process.
+	// Request is the driver's identifier of the request, unique within the
+	// process.
 	Request uint64
 	// Path selects the route.
 	Path string
 	// KeyHash is empty when no key came with the request.
 	KeyHash string
-	// Idempotent is what the HTTP method promises.
+	// Idempotent reports whether the HTTP method is idempotent.
 	Idempotent bool
-	// IdempotencyKey is the caller's, or empty.
+	// IdempotencyKey is the key that the caller sent, or empty.
 	IdempotencyKey string
 	BodyBytes      int64
 	// Timeout shortens the route's deadline when it is positive.
 	Timeout time.Duration
 }
 
-// RequestCancelled means that the caller of a request went away.
+// RequestCancelled reports that the caller of a request disconnected.
 type RequestCancelled struct{ Request uint64 }
 
-// AttemptResult says how an attempt at an upstream ended.
+// AttemptResult is the result of an attempt at an upstream.
 type AttemptResult int
 
 // The results of an attempt.
 const (
-	// AttemptAnswered means that the whole answer is there.
+	// AttemptAnswered means that the complete response was received.
 	AttemptAnswered AttemptResult = iota + 1
-	// AttemptNotRun means that no byte reached the upstream, or that it said
-	// in its protocol that it did not process the request.
+	// AttemptNotRun means that no byte reached the upstream, or that the
+	// upstream reported in its protocol that it did not process the request.
 	AttemptNotRun
 	// AttemptUnknown means that the upstream may have run the request.
 	AttemptUnknown
 )
 
-// AttemptEnded is the end of an attempt that StartAttempt began.
+// AttemptEnded reports the end of an attempt that StartAttempt began.
 type AttemptEnded struct {
 	Work    work.ID
 	Attempt int
 	Result  AttemptResult
-	// Status is the upstream's HTTP status when it answered.
+	// Status is the HTTP status of the upstream's response, if there was one.
 	Status int
-	// Leaving says that the upstream announced its shutdown.
+	// Leaving reports whether the upstream announced its shutdown.
 	Leaving bool
 	Reason  string
 }
 
-// TaskSubmitted is a task that a caller wants accepted.
+// TaskSubmitted is a caller's request to accept a task.
 type TaskSubmitted struct {
 	Request uint64
 	Queue   string
@@ -84,21 +88,21 @@
 	Payload []byte
 }
 
-// TaskQueried is a caller's question for a task.
+// TaskQueried is a caller's query for the status of a task.
 type TaskQueried struct {
 	Request uint64
 	TaskID  string
 	KeyHash string
 }
 
-// TaskCancelled is a caller's wish to end a task.
+// TaskCancelled is a caller's request to cancel a task.
 type TaskCancelled struct {
 	Request uint64
 	TaskID  string
 	KeyHash string
 }
 
-// WorkerTask is a task as its worker reports it.
+// WorkerTask is the state of a task as its worker reports it.
 type WorkerTask struct {
 	TaskID  string      `json:"task_id"`
 	Attempt int         `json:"attempt"`
@@ -107,7 +111,7 @@
 	Reason  string      `json:"reason,omitempty"`
 }
 
-// WorkerState is how a worker sees a task.
+// WorkerState is the state of a task at a worker.
 type WorkerState string
 
 // The states that a worker reports.
@@ -120,36 +124,36 @@
 	WorkerUnknown WorkerState = "unknown"
 )
 
-// TaskStartEnded is the end of a StartTask effect.
+// TaskStartEnded reports the result of a StartTask effect.
 type TaskStartEnded struct {
 	Work    work.ID
 	Attempt int
-	// Refused means that the worker certainly did not take the task. When
-	// neither Refused nor Accepted is set, it may have.
+	// Refused means that the worker is guaranteed not to have accepted the
+	// task. When neither Refused nor Accepted is set, it may have accepted it.
 	Accepted bool
 	Refused  bool
 	Reason   string
 }
 
-// WorkerReported answers PollWorker.
+// WorkerReported is the result of PollWorker.
 type WorkerReported struct {
 	VM string
-	// Reached is false when the worker did not answer.
+	// Reached is false when the worker did not respond.
 	Reached bool
 	Tasks   []WorkerTask
 }
 
-// PeerUp is a new link to a member.
+// PeerUp reports a new link to a member.
 type PeerUp struct {
 	Member string
 	AZ     string
 }
 
-// PeerDown is the end of the last link to a member. Messages on their way are
-// lost.
+// PeerDown reports that the last link to a member ended. Messages in transit
+// are lost.
 type PeerDown struct{ Member string }
 
-// MessageReceived is a message of a member.
+// MessageReceived is a message from a member.
 type MessageReceived struct {
 	Member  string
 	Message message.Message
@@ -161,33 +165,34 @@
 	Result store.Result
 }
 
-// StoreChanged is a watch's notice that the configuration's head changed.
+// StoreChanged is a watch notification that the head of the configuration
+// changed.
 type StoreChanged struct{}
 
-// FleetListed is the platform's list of VMs, which lags. A driver feeds it when
-// the list has changed.
+// FleetListed is the platform's list of VMs, which lags behind their actual
+// state. A driver feeds it when the list has changed.
 type FleetListed struct{ VMs []vm.VM }
 
-// ChangeRequested is an operator's wish to change the configuration.
+// ChangeRequested is an operator's request to change the configuration.
 type ChangeRequested struct {
 	Request uint64
 	Change  table.Change
-	// Base is the revision that the operator's tables were made from; zero
-	// means any.
+	// Base is the configuration revision that the operator's tables were
+	// derived from; zero skips the check.
 	Base int64
 }
 
-// MembersGone is an operator's word that members run no more.
+// MembersGone is an operator's confirmation that members have terminated.
 type MembersGone struct{ IDs []string }
 
-// StatusRequested is an operator's question for the entry's status.
+// StatusRequested is an operator's query for the entry's status.
 type StatusRequested struct{ Request uint64 }
 
-// ShutdownRequested begins the entry's graceful shutdown.
+// ShutdownRequested starts the entry's graceful shutdown.
 type ShutdownRequested struct{}
 
-// AcceptingStopped follows effect.StopAccepting: every caller has its answer,
-// and none can come any more.
+// AcceptingStopped follows effect.StopAccepting: every caller has received its
+// response, and no new caller can connect.
 type AcceptingStopped struct{}
 
 func (AcceptingStopped) isEvent()  {}
