--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -1,5 +1,8 @@
-// Package effect defines all that the reducer wants done. A driver carries the
-// effects out in their order and feeds what comes of them back as events.
+// Package effect defines the outputs of an entry's reducer. A driver executes
+// the effects in order and feeds their results back as events.
+//
+// A VM is a machine of the platform. The process that it runs is an executor,
+// the upstream of requests, or a worker, which runs tasks.
 package effect
 
 import (
@@ -13,17 +16,18 @@
 	"github.com/balsamgauge/balsamgauge/pkg/table"
 )
 
-// An Effect is one thing to be done.
+// An Effect is one action for the driver.
 type Effect interface{ isEffect() }
 
-// Send sends a message to a member. It may be dropped when the link is down or
-// its queue is full; the driver then ends the link and feeds PeerDown.
+// Send sends a message to a member. The driver may drop it when the link is
+// down or its queue is full; it then closes the link and feeds PeerDown.
 type Send struct {
 	To      string
 	Message message.Message
 }
 
-// CallStore makes a call. StoreAnswered must follow, within StoreTimeout.
+// CallStore makes a call to the store. StoreAnswered must follow within
+// StoreTimeout.
 type CallStore struct {
 	Call uint64
 	Op   store.Op
@@ -32,46 +36,47 @@
 // StoreTimeout bounds a call to the store.
 const StoreTimeout = time.Second
 
-// StartAttempt sends a request to a VM. AttemptEnded must follow, at the
-// latest a little after the deadline.
+// StartAttempt sends a request to a VM. AttemptEnded must follow, shortly after
+// the deadline at the latest.
 type StartAttempt struct {
 	Work    work.ID
 	Request uint64
 	Attempt int
 	VM      string
 	Address string
-	// Repeatable requests may go out on a connection that has been idle;
-	// others need one that is new.
+	// Repeatable requests may be sent on an idle connection; others need a new
+	// one.
 	Repeatable bool
 	Deadline   time.Time
 }
 
-// AbortAttempt ends an attempt that nobody waits for.
+// AbortAttempt aborts an attempt whose result is no longer needed.
 type AbortAttempt struct {
 	Work    work.ID
 	Attempt int
 }
 
-// RelayResponse gives the caller the whole answer of the attempt that ended.
+// RelayResponse sends the caller the complete response of the attempt that
+// ended.
 type RelayResponse struct {
 	Request uint64
 	Work    work.ID
 	Attempt int
 }
 
-// Refuse answers a caller without an upstream's answer.
+// Refuse sends the caller a refusal in place of an upstream's response.
 type Refuse struct {
 	Request uint64
 	Refusal outcome.Refusal
 }
 
-// AcceptTask tells a submitter that its task is in the store.
+// AcceptTask confirms to a submitter that its task is in the store.
 type AcceptTask struct {
 	Request uint64
 	TaskID  string
 }
 
-// ReplyTaskStatus answers a question for a task.
+// ReplyTaskStatus replies to the query for a task.
 type ReplyTaskStatus struct {
 	Request uint64
 	Status  task.Status
@@ -89,8 +94,8 @@
 	Lease   time.Duration
 }
 
-// PollWorker asks a worker for tasks and renews their leases. WorkerReported
-// must follow.
+// PollWorker polls a worker for the state of tasks and renews their leases.
+// WorkerReported must follow.
 type PollWorker struct {
 	VM      string
 	Address string
@@ -98,20 +103,20 @@
 	Lease   time.Duration
 }
 
-// StopTask asks a worker to stop a task. Nothing follows.
+// StopTask requests that a worker stop a task. No event follows.
 type StopTask struct {
 	VM      string
 	Address string
 	TaskAttempt
 }
 
-// TaskAttempt names an attempt at a task.
+// TaskAttempt identifies one attempt at a task.
 type TaskAttempt struct {
 	TaskID  string `json:"task_id"`
 	Attempt int    `json:"attempt"`
 }
 
-// ReplyChange answers an operator's change.
+// ReplyChange replies to an operator's request to change the configuration.
 type ReplyChange struct {
 	Request uint64
 	// Accepted changes are in the store and at a majority of the voters.
@@ -121,35 +126,37 @@
 	Message  string
 }
 
-// ReplyStatus answers an operator's question.
+// ReplyStatus replies to an operator's status query.
 type ReplyStatus struct {
 	Request uint64
 	Status  Status
 }
 
-// Connect names the addresses to keep links to, beside those of the settings.
+// Connect lists the voters to keep links to, in addition to the addresses in
+// the settings.
 type Connect struct{ Voters []table.Voter }
 
-// PublishConfig makes a configuration known to the driver, for reading only.
+// PublishConfig makes a configuration available to the driver, which must not
+// modify it.
 type PublishConfig struct{ Config *table.Config }
 
-// SetReady tells the balancer whether to send callers here.
+// SetReady sets whether the load balancer should route callers to this entry.
 type SetReady struct{ Ready bool }
 
-// StopAccepting takes no more callers and lets those that are here have their
-// answers. AcceptingStopped must follow.
+// StopAccepting closes the entry to new callers and lets pending requests
+// finish. AcceptingStopped must follow.
 type StopAccepting struct{}
 
-// Exit ends the process: nothing is left to do.
+// Exit ends the process. Nothing is pending.
 type Exit struct{}
 
-// Record adds an event to the time line.
+// Record adds an event to the timeline.
 type Record struct {
-	// Part is the part of the entry that it concerns.
+	// Part is the component of the entry that recorded the event.
 	Part string
-	// Name is what happened, in snake case.
+	// Name is the name of the event in snake case.
 	Name string
-	// Subject is what it happened to.
+	// Subject is the object of the event, such as a VM or a member.
 	Subject string
 	Detail  string
 }
--- a/internal/core/effect/status.go
+++ b/internal/core/effect/status.go
@@ -1,6 +1,6 @@
 package effect
 
-// Status is an entry's account of itself.
+// Status is the state that an entry reports to operators.
 type Status struct {
 	ID       string         `json:"id"`
 	AZ       string         `json:"az"`
@@ -12,12 +12,12 @@
 	Members  []MemberStatus `json:"members"`
 	Pools    []PoolStatus   `json:"pools"`
 	Teams    []TeamStatus   `json:"teams"`
-	// PendingRecords counts the task records that the store does not have yet.
+	// PendingRecords counts the task records that are not in the store yet.
 	PendingRecords int `json:"pending_records"`
 	Tasks          int `json:"tasks"`
 }
 
-// MemberStatus is what the entry knows of a peer.
+// MemberStatus is the last known state of a peer.
 type MemberStatus struct {
 	ID       string `json:"id"`
 	AZ       string `json:"az"`
@@ -26,25 +26,25 @@
 	Revision int64  `json:"revision"`
 }
 
-// PoolStatus is the entry's view of a pool.
+// PoolStatus is the state of a pool at the entry.
 type PoolStatus struct {
 	Pool       string `json:"pool"`
 	Dispatcher string `json:"dispatcher"`
 	VMs        int    `json:"vms"`
 	UsableVMs  int    `json:"usable_vms"`
 	Slots      int    `json:"slots"`
-	// Waiting and Running count the entry's own work.
+	// Waiting and Running count only the entry's own work.
 	Waiting int `json:"waiting"`
 	Running int `json:"running"`
 }
 
-// TeamStatus is the entry's view of a team.
+// TeamStatus is the state of a team at the entry.
 type TeamStatus struct {
 	Team  string `json:"team"`
 	Limit int    `json:"limit"`
-	// Permits and Running are the entry's own.
+	// Permits and Running count only the entry's own.
 	Permits int `json:"permits"`
 	Running int `json:"running"`
-	// InDebt says that a lowered limit is not in force at this entry yet.
+	// InDebt reports whether a lowered limit is not yet in force at the entry.
 	InDebt bool `json:"in_debt"`
 }
