--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -1,9 +1,10 @@
-// Package message defines what entries send each other, and how it is written
-// on the wire with msgpack.
+// Package message defines the messages between entries and their msgpack
+// encoding.
 //
-// The messages are a closed set behind Message. Each may be lost, repeated or
-// late: what matters travels as cumulative counters, whole reports or
-// revisions, so that hearing a message twice changes nothing.
+// The messages are a closed set behind Message. Each may be lost, duplicated or
+// delayed: state is sent as cumulative counters, complete reports or revisions,
+// so that receiving a message twice changes nothing. A VM in a message is a
+// machine of the platform that runs an executor or a worker.
 package message
 
 import (
@@ -12,85 +13,88 @@
 	"github.com/balsamgauge/balsamgauge/pkg/table"
 )
 
-// A Message is one thing that an entry tells another.
+// A Message is one message from an entry to another.
 type Message interface {
-	// kind marks the closed set of messages.
+	// kind restricts the interface to the types of this package.
 	kind() kind
 }
 
-// Heartbeat tells a peer that the entry lives and what it last heard.
+// Heartbeat reports that the sender is alive and what it last received.
 type Heartbeat struct {
-	// Revision is the configuration that the entry runs by.
+	// Revision is the revision of the configuration in force at the sender.
 	Revision int64  `json:"rev"`
 	AZ       string `json:"az"`
-	// SentNanos is the sender's clock; Echo is the receiver's own SentNanos
-	// that the sender heard last. Zero means none.
+	// SentNanos is the sender's clock. Echo is the latest SentNanos that the
+	// sender received from the receiver. Zero means none.
 	SentNanos int64 `json:"sent"`
 	Echo      int64 `json:"echo"`
 	Leaving   bool  `json:"leaving,omitempty"`
-	// Spare lists the teams of which the sender has permits to give.
+	// Spare lists the permits that the sender can transfer, by team.
 	Spare []SparePermits `json:"spare,omitempty"`
-	// SeenLeaving lists VMs that the sender saw leaving.
+	// SeenLeaving lists the VMs that the sender observed shutting down.
 	SeenLeaving []string `json:"seen_leaving,omitempty"`
-	// Gone lists voters that the sender knows to run no more.
+	// Gone lists the voters that the sender knows to have terminated.
 	Gone []string `json:"gone,omitempty"`
 }
 
-// SparePermits is how many of a team's permits a member could give away.
+// SparePermits is the number of a team's permits that a member can transfer.
 type SparePermits struct {
 	Team    string `json:"team"`
 	Permits int    `json:"permits"`
 }
 
-// Edits carries consecutive changes of the configuration.
+// Edits carries consecutive changes to the configuration.
 type Edits struct {
 	Edits []table.Edit `json:"edits"`
 }
 
-// SnapshotRequest asks for the whole configuration, by a peer whose own is older
-// than the changes that are kept.
+// SnapshotRequest requests the whole configuration. A peer sends it when its
+// own is older than the retained changes.
 type SnapshotRequest struct {
 	Have int64 `json:"have"`
 }
 
-// Snapshot carries the whole configuration as the store keeps it.
+// Snapshot carries the whole configuration in the encoding of the store.
 type Snapshot struct {
 	Config []byte `json:"config"`
 }
 
-// Demand is an entry's whole report to a pool's dispatcher.
+// Demand is an entry's complete report to a pool's dispatcher.
 type Demand struct {
 	Pool string `json:"pool"`
-	// Acknowledged is the number of the last grant that the entry heard.
+	// Acknowledged is the sequence number of the last grant that the entry
+	// received.
 	Acknowledged uint64       `json:"ack"`
 	Lanes        []LaneDemand `json:"lanes,omitempty"`
 	Running      []Running    `json:"running,omitempty"`
-	// Suspects lists VMs that the entry could not connect to a moment ago.
+	// Suspects lists the VMs to which the entry recently failed to connect.
 	Suspects []string `json:"suspects,omitempty"`
 }
 
-// LaneDemand is the work of a lane that could start at once.
+// LaneDemand is the work of a lane that is ready to start.
 type LaneDemand struct {
 	Team    string        `json:"t"`
 	Urgency table.Urgency `json:"u"`
 	Waiting int           `json:"w"`
-	// AgeMillis is how long the oldest has waited.
+	// AgeMillis is how long the oldest work has waited.
 	AgeMillis int64 `json:"a"`
-	// Retry says that the work was tried before, and Avoid on which VMs.
+	// Retry reports whether the work has had an attempt; Avoid lists the VMs of
+	// its attempts.
 	Retry bool     `json:"r,omitempty"`
 	Avoid []string `json:"x,omitempty"`
 }
 
-// Running is how much work of a team an entry has running on a VM.
+// Running is the number of slots that a team's work uses on a VM, for one
+// entry.
 type Running struct {
 	VM   string `json:"v"`
 	Team string `json:"t"`
-	// Reserve says that the slots are of the reserve for urgent work.
+	// Reserve reports whether the slots belong to the reserve for urgent work.
 	Reserve bool `json:"u,omitempty"`
 	Count   int  `json:"c"`
 }
 
-// Grants gives slots to an entry.
+// Grants carries a dispatcher's grants to an entry.
 type Grants struct {
 	Pool   string  `json:"pool"`
 	Grants []Grant `json:"grants"`
@@ -98,104 +102,109 @@
 
 // Grant is one slot on a VM for the work of one lane.
 type Grant struct {
-	// Seq counts the grants of one dispatcher to one entry.
+	// Seq is the sequence number of the grant, counted for each dispatcher and
+	// entry.
 	Seq     uint64        `json:"s"`
 	VM      string        `json:"v"`
 	Team    string        `json:"t"`
 	Urgency table.Urgency `json:"u"`
 	Retry   bool          `json:"r,omitempty"`
-	// Reserve says that the slot is of the reserve, so that only urgent work
-	// may use it next.
+	// Reserve reports whether the slot belongs to the reserve. Only urgent work
+	// may reuse such a slot.
 	Reserve bool `json:"x,omitempty"`
 }
 
-// Recall asks an entry not to use slots for the next work of a team, but to
-// give them back as they become free.
+// Recall requests that an entry return slots of a team as they become free
+// instead of reusing them for the team's next work.
 type Recall struct {
 	Pool  string       `json:"pool"`
 	Slots []RecallSlot `json:"slots"`
 }
 
-// RecallSlot is how many slots of a team are wanted back.
+// RecallSlot is the number of a team's slots to return.
 type RecallSlot struct {
 	Team    string `json:"t"`
 	Reserve bool   `json:"u,omitempty"`
 	Count   int    `json:"c"`
 }
 
-// PermitRequest asks for permits of a team.
+// PermitRequest requests permits of a team.
 type PermitRequest struct {
 	Team    string `json:"team"`
 	Permits int    `json:"permits"`
-	// AgeMillis is how long the oldest work of the team has waited, and Urgent
-	// whether urgent work of it waits.
+	// AgeMillis is how long the team's oldest work has waited; Urgent reports
+	// whether urgent work of the team is waiting.
 	AgeMillis int64 `json:"age"`
 	Urgent    bool  `json:"urgent,omitempty"`
-	// Free is how many permits the asker holds without using them.
+	// Free is the number of permits that the sender holds but does not use.
 	Free int `json:"free,omitempty"`
 }
 
-// PermitTransfer tells a member the cumulative permits sent to it.
+// PermitTransfer carries the cumulative counts of permits sent to a member.
 type PermitTransfer struct {
 	Totals []permit.Total `json:"totals"`
-	// Spare is what the sender still could give of the teams named.
+	// Spare lists what the sender can still transfer of the listed teams.
 	Spare []SparePermits `json:"spare,omitempty"`
 }
 
-// Freeze asks a member to end transfers with members that are to be removed.
+// Freeze requests that a member stop transfers with members that are about to
+// be removed.
 type Freeze struct {
 	Members []string `json:"members"`
 }
 
-// Frozen answers Freeze with the net transfers, which are final.
+// Frozen replies to Freeze with the net transfers, which are final.
 type Frozen struct {
 	Members    []string         `json:"members"`
 	Settlement table.Settlement `json:"settlement"`
 }
 
-// TaskQuery asks whether a member holds a task.
+// TaskQuery queries a member for the status of a task.
 type TaskQuery struct {
 	RequestID uint64 `json:"ask"`
 	TaskID    string `json:"task"`
 }
 
-// TaskReply answers TaskAsk. Found is false when the member does not hold it.
+// TaskReply replies to TaskQuery. Found is false when the member does not own
+// the task.
 type TaskReply struct {
 	RequestID uint64      `json:"ask"`
 	Found     bool        `json:"found"`
 	Status    task.Status `json:"status"`
 }
 
-// ReserveKey asks a member to remember that a request with an idempotency key is
-// about to run.
+// ReserveKey requests that a member record an idempotency key before its
+// request runs.
 type ReserveKey struct {
 	RequestID uint64 `json:"ask"`
 	// Hash covers the team and the caller's idempotency key.
 	Hash string `json:"hash"`
 }
 
-// ReserveKeyReply answers Reserve. Fresh is false when the key was seen before.
+// ReserveKeyReply replies to ReserveKey. Fresh is false when the key was
+// recorded before.
 type ReserveKeyReply struct {
 	RequestID uint64 `json:"ask"`
 	Hash      string `json:"hash"`
 	Fresh     bool   `json:"fresh"`
 }
 
-// KeyHandover hands idempotency keys on to a member that came to be their home.
+// KeyHandover transfers idempotency keys to a member that became a replica of
+// them.
 type KeyHandover struct {
 	Keys []IdempotencyKey `json:"keys"`
 }
 
-// IdempotencyKey is an idempotency key that a member remembers.
+// IdempotencyKey is an idempotency key that a member has recorded.
 type IdempotencyKey struct {
 	Hash  string `json:"h"`
 	Owner string `json:"o"`
-	// AgeMillis is how long ago the key was seen.
+	// AgeMillis is the time since the key was recorded.
 	AgeMillis int64 `json:"a"`
 }
 
-// ReleaseKey asks a member to forget a reservation, because the request was
-// certainly not run.
+// ReleaseKey requests that a member delete the reservation of a key whose
+// request is guaranteed not to have run.
 type ReleaseKey struct {
 	Hash string `json:"hash"`
 }
--- a/internal/core/message/shape.go
+++ b/internal/core/message/shape.go
@@ -9,47 +9,47 @@
 	"github.com/vmihailenco/msgpack/v5/msgpcode"
 )
 
-// maxDepth bounds how deep arrays and maps may stand in each other. No message
-// needs more than the configuration's edits do.
+// maxDepth bounds the nesting of arrays and maps. The edits of the
+// configuration are the most deeply nested message and stay below it.
 const maxDepth = 16
 
-// errTooDeep means that arrays and maps stand too deep in each other.
-var errTooDeep = errors.New("nested too deep")
+var errTooDeep = errors.New("arrays or maps are nested too deeply")
 
-// checkShape walks a msgpack value without keeping anything of it. The decoder
-// makes room for as many elements as an array says that it has, so a message
-// of a few bytes could ask for all of the memory. Here, each element must have
-// at least one byte.
+// checkShape validates the structure of a msgpack value without decoding it.
+// The decoder allocates as many elements as an array header announces, so a
+// message of a few bytes could exhaust the memory. checkShape requires at least
+// one byte for each announced element.
 func checkShape(data []byte) error {
 	reader := bytes.NewReader(data)
 	dec := msgpack.NewDecoder(reader)
-	// open holds how many values each enclosing array or map still lacks.
-	open := []int{1}
-	for len(open) > 0 {
-		last := len(open) - 1
-		if open[last] == 0 {
-			open = open[:last]
+	// remaining holds the number of values left to read in each enclosing array
+	// or map.
+	remaining := []int{1}
+	for len(remaining) > 0 {
+		last := len(remaining) - 1
+		if remaining[last] == 0 {
+			remaining = remaining[:last]
 			continue
 		}
-		open[last]--
-		count, err := enter(dec)
+		remaining[last]--
+		count, err := readHeader(dec)
 		if err != nil {
 			return err
 		}
 		if count > reader.Len() {
-			return fmt.Errorf("%d values in %d bytes", count, reader.Len())
+			return fmt.Errorf("header announces %d values, but only %d bytes follow", count, reader.Len())
 		}
-		if len(open) >= maxDepth {
+		if len(remaining) >= maxDepth {
 			return errTooDeep
 		}
-		open = append(open, count)
+		remaining = append(remaining, count)
 	}
 	return nil
 }
 
-// enter reads the head of an array or a map and returns how many values follow,
-// or reads a whole value of another kind.
-func enter(dec *msgpack.Decoder) (count int, err error) {
+// readHeader reads the header of an array or a map and returns the number of
+// values that follow. It skips a value of any other kind.
+func readHeader(dec *msgpack.Decoder) (count int, err error) {
 	code, err := dec.PeekCode()
 	if err != nil {
 		return 0, err
--- a/internal/core/message/wire.go
+++ b/internal/core/message/wire.go
@@ -8,49 +8,50 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// kind is the number that stands for a message's type on the wire. Numbers are
-// never used again for another type.
+// kind identifies the type of a message on the wire. A number is never reused
+// for another type.
 type kind uint8
 
 const (
 	kindHeartbeat kind = iota + 1
 	kindEdits
-	kindSnapshotAsk
+	kindSnapshotRequest
 	kindSnapshot
 	kindDemand
 	kindGrants
-	kindPermitAsk
+	kindPermitRequest
 	kindPermitTransfer
 	kindFreeze
 	kindFrozen
-	kindTaskAsk
-	kindTaskTold
-	kindReserve
-	kindReserved
-	kindRelease
+	kindTaskQuery
+	kindTaskReply
+	kindReserveKey
+	kindReserveKeyReply
+	kindReleaseKey
 	kindRecall
-	kindKeep
+	kindKeyHandover
 )
 
 func (Heartbeat) kind() kind       { return kindHeartbeat }
 func (Edits) kind() kind           { return kindEdits }
-func (SnapshotRequest) kind() kind { return kindSnapshotAsk }
+func (SnapshotRequest) kind() kind { return kindSnapshotRequest }
 func (Snapshot) kind() kind        { return kindSnapshot }
 func (Demand) kind() kind          { return kindDemand }
 func (Grants) kind() kind          { return kindGrants }
-func (PermitRequest) kind() kind   { return kindPermitAsk }
+func (PermitRequest) kind() kind   { return kindPermitRequest }
 func (PermitTransfer) kind() kind  { return kindPermitTransfer }
 func (Freeze) kind() kind          { return kindFreeze }
 func (Frozen) kind() kind          { return kindFrozen }
-func (TaskQuery) kind() kind       { return kindTaskAsk }
-func (TaskReply) kind() kind       { return kindTaskTold }
-func (ReserveKey) kind() kind      { return kindReserve }
-func (ReserveKeyReply) kind() kind { return kindReserved }
-func (ReleaseKey) kind() kind      { return kindRelease }
+func (TaskQuery) kind() kind       { return kindTaskQuery }
+func (TaskReply) kind() kind       { return kindTaskReply }
+func (ReserveKey) kind() kind      { return kindReserveKey }
+func (ReserveKeyReply) kind() kind { return kindReserveKeyReply }
+func (ReleaseKey) kind() kind      { return kindReleaseKey }
 func (Recall) kind() kind          { return kindRecall }
-func (KeyHandover) kind() kind     { return kindKeep }
+func (KeyHandover) kind() kind     { return kindKeyHandover }
 
-// Encode writes a message: one byte for its type, then its fields.
+// Encode returns a message as one byte for its type, followed by its fields in
+// msgpack.
 func Encode(msg Message) (data []byte, err error) {
 	defer func() {
 		if err != nil {
@@ -69,7 +70,7 @@
 	return buf.Bytes(), nil
 }
 
-// Decode reads what Encode wrote.
+// Decode returns the message that Encode encoded.
 func Decode(data []byte) (msg Message, err error) {
 	defer func() {
 		if err != nil {
@@ -77,37 +78,37 @@
 		}
 	}()
 	if len(data) == 0 {
-		return nil, errors.New("empty")
+		return nil, errors.New("empty message")
 	}
 	if err := checkShape(data[1:]); err != nil {
 		return nil, err
 	}
 	decode, ok := decoders[kind(data[0])]
 	if !ok {
-		return nil, fmt.Errorf("unknown type %d", data[0])
+		return nil, fmt.Errorf("unknown message type %d", data[0])
 	}
 	return decode(data[1:])
 }
 
-// decoders holds how the fields of each type are read.
+// decoders maps each type of message to the decoder of its fields.
 var decoders = map[kind]func(body []byte) (Message, error){
-	kindHeartbeat:      decodeAs[Heartbeat],
-	kindEdits:          decodeAs[Edits],
-	kindSnapshotAsk:    decodeAs[SnapshotRequest],
-	kindSnapshot:       decodeAs[Snapshot],
-	kindDemand:         decodeAs[Demand],
-	kindGrants:         decodeAs[Grants],
-	kindPermitAsk:      decodeAs[PermitRequest],
-	kindPermitTransfer: decodeAs[PermitTransfer],
-	kindFreeze:         decodeAs[Freeze],
-	kindFrozen:         decodeAs[Frozen],
-	kindTaskAsk:        decodeAs[TaskQuery],
-	kindTaskTold:       decodeAs[TaskReply],
-	kindReserve:        decodeAs[ReserveKey],
-	kindReserved:       decodeAs[ReserveKeyReply],
-	kindRelease:        decodeAs[ReleaseKey],
-	kindRecall:         decodeAs[Recall],
-	kindKeep:           decodeAs[KeyHandover],
+	kindHeartbeat:       decodeAs[Heartbeat],
+	kindEdits:           decodeAs[Edits],
+	kindSnapshotRequest: decodeAs[SnapshotRequest],
+	kindSnapshot:        decodeAs[Snapshot],
+	kindDemand:          decodeAs[Demand],
+	kindGrants:          decodeAs[Grants],
+	kindPermitRequest:   decodeAs[PermitRequest],
+	kindPermitTransfer:  decodeAs[PermitTransfer],
+	kindFreeze:          decodeAs[Freeze],
+	kindFrozen:          decodeAs[Frozen],
+	kindTaskQuery:       decodeAs[TaskQuery],
+	kindTaskReply:       decodeAs[TaskReply],
+	kindReserveKey:      decodeAs[ReserveKey],
+	kindReserveKeyReply: decodeAs[ReserveKeyReply],
+	kindReleaseKey:      decodeAs[ReleaseKey],
+	kindRecall:          decodeAs[Recall],
+	kindKeyHandover:     decodeAs[KeyHandover],
 }
 
 func decodeAs[M Message](body []byte) (msg Message, err error) {
--- a/internal/core/message/wire_test.go
+++ b/internal/core/message/wire_test.go
@@ -31,7 +31,7 @@
 	message.KeyHandover{Keys: []message.IdempotencyKey{{Hash: "h", Owner: "m", AgeMillis: 3}}},
 }
 
-func TestEncodeKeepsEveryMessage(t *testing.T) {
+func TestRoundTrip(t *testing.T) {
 	for _, msg := range samples {
 		data, err := message.Encode(msg)
 		assert.NilError(t, err)
@@ -41,18 +41,19 @@
 	}
 }
 
-// TestSizes bounds the bytes of the messages that are sent for each request and
-// each heartbeat.
+// TestSizes bounds the encoded size of the messages that are sent for each
+// request and each heartbeat.
 func TestSizes(t *testing.T) {
 	bounds := map[string]int{"heartbeat": 64, "demand": 64, "grants": 64}
 	for name, msg := range map[string]message.Message{"heartbeat": samples[0], "demand": samples[4], "grants": samples[5]} {
 		data, err := message.Encode(msg)
 		assert.NilError(t, err)
-		assert.Assert(t, len(data) <= bounds[name], "%s takes %d bytes", name, len(data))
+		assert.Assert(t, len(data) <= bounds[name], "%s: encoded size is %d bytes", name, len(data))
 	}
 }
 
-// FuzzDecode feeds what a broken or hostile peer could send.
+// FuzzDecode covers input from a faulty or malicious peer: decoding must not
+// panic, and a decoded message must survive another round trip.
 func FuzzDecode(f *testing.F) {
 	for _, msg := range samples {
 		data, err := message.Encode(msg)
@@ -71,15 +72,15 @@
 		}
 		again, err := message.Encode(msg)
 		if err != nil {
-			t.Fatalf("decoded %T can't be encoded: %v", msg, err)
+			t.Fatalf("encode decoded %T: %v", msg, err)
 		}
 		back, err := message.Decode(again)
 		if err != nil {
-			t.Fatalf("encoded %T can't be decoded: %v", msg, err)
+			t.Fatalf("decode encoded %T: %v", msg, err)
 		}
 		third, err := message.Encode(back)
 		if err != nil || !bytes.Equal(again, third) {
-			t.Fatalf("%T changes on its way: %v", msg, err)
+			t.Fatalf("%T changes in a second round trip: %v", msg, err)
 		}
 	})
 }
