--- a/internal/core/dispatch/decide.go
+++ b/internal/core/dispatch/decide.go
@@ -9,33 +9,33 @@
 	"github.com/balsamgauge/balsamgauge/pkg/table"
 )
 
-// A Decision gives a grant to a member.
+// A Decision assigns a grant to a member.
 type Decision struct {
 	Member string
 	Grant  message.Grant
 }
 
-// A Input is what a decision goes by: the pool, the VMs that may be given work,
-// and the weight of each team.
+// An Input is the input of a decision: the pool, the VMs that may receive work,
+// and the configuration with the weight of each team.
 type Input struct {
 	Pool   table.Pool
 	Usable []vm.VM
 	Config *table.Config
 }
 
-// A Recall asks a member for slots back.
+// A Recall requests that a member return slots.
 type Recall struct {
 	Member string
 	Slots  []message.RecallSlot
 }
 
-// Decide gives the free slots to waiting work. Urgent work of a team within
-// its share goes first; beyond that, slots go by weighted max-min between
-// teams, and within a team by urgency, then by age. A part of the slots is
-// kept for urgent work. When no slot is left for a team below its share, slots
-// of teams above theirs are recalled.
-func (dsp Dispatcher) Decide(now time.Time, rul Input) (next Dispatcher, dcs []Decision, rcs []Recall) {
-	rnd := newRound(dsp, rul)
+// Decide assigns free slots to waiting work. Urgent work of teams within their
+// share goes first; the remaining slots are divided by weighted max-min between
+// teams, and within a team by urgency, then by age. The pool's reserve is only
+// granted to urgent work. When no slot is left for a team below its share,
+// slots of teams above their share are recalled.
+func (dsp Dispatcher) Decide(now time.Time, inp Input) (next Dispatcher, dcs []Decision, rcs []Recall) {
+	rnd := newRound(dsp, inp)
 	if len(rnd.lanes) == 0 {
 		return dsp, nil, nil
 	}
--- a/internal/core/dispatch/dispatcher.go
+++ b/internal/core/dispatch/dispatcher.go
@@ -13,48 +13,49 @@
 
 // Dispatcher is the state of one pool's dispatcher. It is immutable.
 type Dispatcher struct {
-	// since is when this entry became the pool's dispatcher.
+	// since is the time at which this entry became the pool's dispatcher.
 	since   time.Time
 	reports *immutable.SortedMap[string, report]
 }
 
-// report is what the dispatcher knows of one member.
+// report is the dispatcher's state of one member.
 type report struct {
-	heard   bool
-	at      time.Time
-	lanes   []message.LaneDemand
-	running []message.Running
-	// suspects lists VMs that the member could not connect to.
+	received bool
+	at       time.Time
+	lanes    []message.LaneDemand
+	running  []message.Running
+	// suspects lists the VMs to which the member failed to connect.
 	suspects []string
-	// recalled holds the slots that the member was asked to give back, until a
-	// time.
+	// recalled holds the slots that the member was requested to return, until
+	// recalledUntil.
 	recalled      []message.RecallSlot
 	recalledUntil time.Time
-	// seq is the number of the last grant to the member.
+	// seq is the sequence number of the last grant to the member.
 	seq uint64
-	// outstanding holds the grants that the member has not acknowledged, in
-	// the order of their numbers.
+	// outstanding holds the grants that the member has not acknowledged, in the
+	// order of their sequence numbers.
 	outstanding []message.Grant
-	// grantedAt is when the last grant was made.
+	// grantedAt is the time of the last grant.
 	grantedAt time.Time
 }
 
-// grantTimeout is how long a grant may stay unacknowledged after the last one.
-// Then it counts as lost.
+// grantTimeout is the time after the last grant at which unacknowledged grants
+// count as lost.
 const grantTimeout = time.Second
 
-// New returns the dispatcher of an entry that has just come to lead a pool.
+// New returns the state of an entry that has just become the dispatcher of a
+// pool.
 func New(now time.Time) Dispatcher {
 	return Dispatcher{since: now, reports: immutable.NewSortedMap[string, report](nil)}
 }
 
-// WithDemand returns the dispatcher after a member's report.
+// WithDemand returns the dispatcher after it received a member's report.
 func (dsp Dispatcher) WithDemand(now time.Time, from string, dem message.Demand) Dispatcher {
 	rep, _ := dsp.reports.Get(from)
-	rep.heard = true
+	rep.received = true
 	rep.at = now
 	rep.lanes = dem.Lanes
-	rep.recalled = unanswered(rep, dem.Running)
+	rep.recalled = pendingRecalls(rep, dem.Running)
 	rep.running = dem.Running
 	rep.suspects = dem.Suspects
 	rep.outstanding = slices.DeleteFunc(slices.Clone(rep.outstanding), func(grt message.Grant) bool {
@@ -68,8 +69,8 @@
 	return dsp
 }
 
-// WithoutGrants returns the dispatcher after the link to a member broke: the
-// grants on their way are void.
+// WithoutGrants returns the dispatcher after the link to a member failed, which
+// invalidates the grants in transit.
 func (dsp Dispatcher) WithoutGrants(member string) Dispatcher {
 	rep, ok := dsp.reports.Get(member)
 	if !ok {
@@ -80,15 +81,14 @@
 	return dsp
 }
 
-// WithoutMember returns the dispatcher without a member that is no longer
-// live.
+// WithoutMember returns the dispatcher without a member that is no longer live.
 func (dsp Dispatcher) WithoutMember(member string) Dispatcher {
 	dsp.reports = dsp.reports.Delete(member)
 	return dsp
 }
 
-// WithoutReportsBefore returns the dispatcher without the reports that came
-// before a time.
+// WithoutReportsBefore returns the dispatcher without the reports received
+// before the given time.
 func (dsp Dispatcher) WithoutReportsBefore(oldest time.Time) Dispatcher {
 	itr := dsp.reports.Iterator()
 	for !itr.Done() {
@@ -100,10 +100,10 @@
 	return dsp
 }
 
-// IsIdle reports whether no member's report is kept.
+// IsIdle reports whether the dispatcher holds no reports.
 func (dsp Dispatcher) IsIdle() bool { return dsp.reports.Len() == 0 }
 
-// Members returns the members that reported, sorted.
+// Members returns the members with a report, sorted.
 func (dsp Dispatcher) Members() []string {
 	var ids []string
 	itr := dsp.reports.Iterator()
@@ -114,14 +114,14 @@
 	return ids
 }
 
-// IsGathering reports whether a live member's report is still awaited. Granting
-// before it came could fill slots that are taken.
+// IsGathering reports whether the report of a live member is still missing.
+// Granting slots without it could assign slots that are in use.
 func (dsp Dispatcher) IsGathering(now time.Time, live []string) bool {
 	if now.Sub(dsp.since) >= GatherTimeout {
 		return false
 	}
 	for _, id := range live {
-		if rep, ok := dsp.reports.Get(id); !ok || !rep.heard {
+		if rep, ok := dsp.reports.Get(id); !ok || !rep.received {
 			return true
 		}
 	}
--- a/internal/core/dispatch/doc.go
+++ b/internal/core/dispatch/doc.go
@@ -1,9 +1,13 @@
 // Package dispatch decides, for one pool, which waiting work gets which free
 // slot.
 //
-// The dispatcher of a pool is one of the entries. It holds nothing that can't
-// be rebuilt: each entry reports all that it has waiting and running, and a
-// new dispatcher waits for the reports of every live member before it grants.
-// A grant carries no right beyond a slot. The entry that starts the work checks
-// its key, its permit and the VM at that moment.
+// The dispatcher of a pool is one of the entries. Its state can be rebuilt at
+// any time: each entry reports all its waiting and running work, and a new
+// dispatcher waits for the reports of every live member before it grants slots.
+// A grant conveys nothing beyond a slot: the entry that starts the work checks
+// its key, its permit and the state of the VM at that moment. An entry reuses a
+// slot for its next work until the dispatcher recalls it; a recall requests
+// that the entry return slots as they become free.
+//
+// A VM here is a machine of the pool that runs an executor or a worker.
 package dispatch
--- a/internal/core/dispatch/recall.go
+++ b/internal/core/dispatch/recall.go
@@ -11,22 +11,24 @@
 
 // Bounds of recalls.
 const (
-	// recallEvery is how long a member has to answer a recall before it is
-	// asked again. It is no shorter than the entry honours the recall.
-	recallEvery = 200 * time.Millisecond
+	// recallTimeout is the time a member has to answer a recall before it is
+	// repeated. It must not be shorter than the time for which an entry honours
+	// a recall.
+	recallTimeout = 200 * time.Millisecond
 	// maxRecalls bounds the slots recalled in one decision.
 	maxRecalls = 32
 )
 
-// recall asks for slots back for the teams that have work waiting and run less
-// for their weight than others do. Entries use a slot for their next work
-// without asking, so that without a recall it would not come back soon.
+// recall recalls slots for teams that have work waiting and run less relative
+// to their weight than others. Entries reuse a slot for their next work without
+// a request to the dispatcher, so without a recall the slot would not be
+// returned soon.
 func (dsp Dispatcher) recall(now time.Time, rnd *round) (next Dispatcher, rcs []Recall) {
-	if rnd.freest(nil) >= 0 && rnd.plain < rnd.plainLimit {
+	if rnd.leastLoaded(nil) >= 0 && rnd.unreserved < rnd.unreservedLimit {
 		return dsp, nil
 	}
 	holds := dsp.recallable(now)
-	for _, slt := range dsp.underRecall(now) {
+	for _, slt := range dsp.activeRecalls(now) {
 		for i := range rnd.teams {
 			if rnd.teams[i].Name == slt.Team {
 				rnd.teams[i].Running -= slt.Count
@@ -35,11 +37,11 @@
 	}
 	rnd.recallForUrgent(holds)
 	for range maxRecalls {
-		to, from := rnd.mostUnfair()
+		to, from := rnd.mostImbalanced()
 		if to < 0 {
 			break
 		}
-		at := slices.IndexFunc(holds, func(hld hold) bool { return hld.team == rnd.teams[from].Name && hld.count > 0 })
+		at := slices.IndexFunc(holds, func(hld holding) bool { return hld.team == rnd.teams[from].Name && hld.count > 0 })
 		if at < 0 {
 			break
 		}
@@ -52,9 +54,9 @@
 	return dsp.withRecalls(now, holds)
 }
 
-// recallForUrgent asks each team for slots of its own less urgent work when its
+// recallForUrgent recalls slots of each team's own less urgent work when its
 // urgent work waits.
-func (rnd *round) recallForUrgent(holds []hold) {
+func (rnd *round) recallForUrgent(holds []holding) {
 	for _, lan := range rnd.lanes {
 		if lan.urgency != table.UrgencyUrgent {
 			continue
@@ -71,8 +73,8 @@
 	}
 }
 
-// underRecall lists the slots that members were asked for and still hold.
-func (dsp Dispatcher) underRecall(now time.Time) []message.RecallSlot {
+// activeRecalls returns the slots that are being recalled and are still in use.
+func (dsp Dispatcher) activeRecalls(now time.Time) []message.RecallSlot {
 	var slots []message.RecallSlot
 	itr := dsp.reports.Iterator()
 	for !itr.Done() {
@@ -84,8 +86,9 @@
 	return slots
 }
 
-// hold is what a member holds for a team and could give back.
-type hold struct {
+// holding is the number of slots that a member uses for a team and could
+// return.
+type holding struct {
 	member   string
 	team     string
 	reserve  bool
@@ -93,39 +96,39 @@
 	recalled int
 }
 
-// recallable lists what the members hold, those with the most first, less what
-// they have been asked for.
-func (dsp Dispatcher) recallable(now time.Time) []hold {
-	var holds []hold
+// recallable returns the slots in use at each member, largest first, less those
+// that are already being recalled.
+func (dsp Dispatcher) recallable(now time.Time) []holding {
+	var holds []holding
 	itr := dsp.reports.Iterator()
 	for !itr.Done() {
 		id, rep, _ := itr.Next()
 		for _, run := range rep.running {
-			at := slices.IndexFunc(holds, func(hld hold) bool {
+			at := slices.IndexFunc(holds, func(hld holding) bool {
 				return hld.member == id && hld.team == run.Team && hld.reserve == run.Reserve
 			})
 			if at < 0 {
-				holds = append(holds, hold{member: id, team: run.Team, reserve: run.Reserve})
+				holds = append(holds, holding{member: id, team: run.Team, reserve: run.Reserve})
 				at = len(holds) - 1
 			}
 			holds[at].count += run.Count
 		}
 		if now.Before(rep.recalledUntil) {
 			for i := range holds {
-				holds[i].count -= asked(rep.recalled, id, holds[i])
+				holds[i].count -= recalledCount(rep.recalled, id, holds[i])
 			}
 		}
 	}
-	slices.SortStableFunc(holds, func(a, b hold) int { return b.count - a.count })
+	slices.SortStableFunc(holds, func(a, b holding) int { return b.count - a.count })
 	return holds
 }
 
-// unanswered returns what is left of a member's recalls once its new report
-// shows fewer slots held.
-func unanswered(rep report, running []message.Running) []message.RecallSlot {
+// pendingRecalls returns the recalls that remain after a member's new report
+// shows fewer slots in use.
+func pendingRecalls(rep report, running []message.Running) []message.RecallSlot {
 	var left []message.RecallSlot
 	for _, slt := range rep.recalled {
-		slt.Count -= max(0, heldFor(rep.running, slt)-heldFor(running, slt))
+		slt.Count -= max(0, countHeld(rep.running, slt)-countHeld(running, slt))
 		if slt.Count > 0 {
 			left = append(left, slt)
 		}
@@ -133,7 +136,7 @@
 	return left
 }
 
-func heldFor(running []message.Running, slt message.RecallSlot) int {
+func countHeld(running []message.Running, slt message.RecallSlot) int {
 	held := 0
 	for _, run := range running {
 		if run.Team == slt.Team && run.Reserve == slt.Reserve {
@@ -143,9 +146,9 @@
 	return held
 }
 
-// merge returns the old recalls with the new ones in place of those for the
-// same work.
-func merge(old, next []message.RecallSlot) []message.RecallSlot {
+// mergeRecalls returns the new recalls and those old ones that no new recall
+// replaces.
+func mergeRecalls(old, next []message.RecallSlot) []message.RecallSlot {
 	merged := slices.Clone(next)
 	for _, slt := range old {
 		same := func(other message.RecallSlot) bool { return other.Team == slt.Team && other.Reserve == slt.Reserve }
@@ -156,7 +159,7 @@
 	return merged
 }
 
-func asked(slots []message.RecallSlot, member string, hld hold) int {
+func recalledCount(slots []message.RecallSlot, member string, hld holding) int {
 	for _, slt := range slots {
 		if hld.member == member && slt.Team == hld.team && slt.Reserve == hld.reserve {
 			return slt.Count
@@ -165,10 +168,11 @@
 	return 0
 }
 
-// mostUnfair returns the team that a slot should go to next and the one that
-// should give it, or -1 when moving a slot would not bring them nearer.
-func (rnd *round) mostUnfair() (to, from int) {
-	to = share.Pick(rnd.withWaiting(func(laneState) bool { return true }))
+// mostImbalanced returns the team that should receive the next slot and the one
+// that should return it, or -1 when moving a slot would not reduce the
+// imbalance.
+func (rnd *round) mostImbalanced() (to, from int) {
+	to = share.Pick(rnd.teamsWaiting(func(laneState) bool { return true }))
 	if to < 0 {
 		return -1, -1
 	}
@@ -184,14 +188,14 @@
 	if from < 0 {
 		return -1, -1
 	}
-	taker, giver := rnd.teams[to], rnd.teams[from]
-	if (taker.Running+1)*giver.Weight > (giver.Running-1)*taker.Weight {
+	receiver, donor := rnd.teams[to], rnd.teams[from]
+	if (receiver.Running+1)*donor.Weight > (donor.Running-1)*receiver.Weight {
 		return -1, -1
 	}
 	return to, from
 }
 
-func (dsp Dispatcher) withRecalls(now time.Time, holds []hold) (next Dispatcher, rcs []Recall) {
+func (dsp Dispatcher) withRecalls(now time.Time, holds []holding) (next Dispatcher, rcs []Recall) {
 	itr := dsp.reports.Iterator()
 	for !itr.Done() {
 		id, rep, _ := itr.Next()
@@ -200,7 +204,7 @@
 			if hld.member == id && hld.recalled > 0 {
 				count := hld.recalled
 				if now.Before(rep.recalledUntil) {
-					count += asked(rep.recalled, id, hld)
+					count += recalledCount(rep.recalled, id, hld)
 				}
 				slots = append(slots, message.RecallSlot{Team: hld.team, Reserve: hld.reserve, Count: count})
 			}
@@ -208,8 +212,8 @@
 		if len(slots) == 0 {
 			continue
 		}
-		rep.recalled = merge(rep.recalled, slots)
-		rep.recalledUntil = now.Add(recallEvery)
+		rep.recalled = mergeRecalls(rep.recalled, slots)
+		rep.recalledUntil = now.Add(recallTimeout)
 		dsp.reports = dsp.reports.Set(id, rep)
 		rcs = append(rcs, Recall{Member: id, Slots: slots})
 	}
--- a/internal/core/dispatch/round.go
+++ b/internal/core/dispatch/round.go
@@ -11,19 +11,19 @@
 	"github.com/balsamgauge/balsamgauge/pkg/table"
 )
 
-// round is the working state of one Decide.
+// round is the working state of one call of Decide.
 type round struct {
 	// lanes is ordered by team, urgency and age.
 	lanes []laneState
 	teams []share.Team
 	slots []slotState
-	// total is the number of slots of the usable VMs.
-	total int
-	// plain counts the slots in use that are not of the reserve for urgent
-	// work; plainLimit is how many there are.
-	plain      int
-	plainLimit int
-	weights    int
+	// totalSlots is the number of slots of the usable VMs.
+	totalSlots int
+	// unreserved counts the slots in use outside the reserve for urgent work;
+	// unreservedLimit is the number of slots outside it.
+	unreserved      int
+	unreservedLimit int
+	totalWeight     int
 }
 
 type laneState struct {
@@ -33,7 +33,7 @@
 	waiting int
 	oldest  time.Time
 	retry   bool
-	// avoid lists the VMs that the work was tried on.
+	// avoid lists the VMs of earlier attempts.
 	avoid []string
 }
 
@@ -43,18 +43,18 @@
 	used int
 }
 
-func newRound(dsp Dispatcher, rul Input) *round {
+func newRound(dsp Dispatcher, inp Input) *round {
 	rnd := &round{}
-	for _, one := range dsp.trusted(rul.Usable) {
+	for _, one := range dsp.unsuspected(inp.Usable) {
 		rnd.slots = append(rnd.slots, slotState{vm: one.ID, size: one.Slots})
-		rnd.total += one.Slots
+		rnd.totalSlots += one.Slots
 	}
-	rnd.plainLimit = rnd.total - rnd.total*rul.Pool.UrgentReserve/100
+	rnd.unreservedLimit = rnd.totalSlots - rnd.totalSlots*inp.Pool.UrgentReserve/100
 	itr := dsp.reports.Iterator()
 	for !itr.Done() {
 		id, rep, _ := itr.Next()
-		rnd.addRunning(rul.Config, rep)
-		rnd.addLanes(rul.Config, id, rep)
+		rnd.addRunning(inp.Config, rep)
+		rnd.addLanes(inp.Config, id, rep)
 	}
 	slices.SortStableFunc(rnd.lanes, func(a, b laneState) int {
 		return cmp.Or(
@@ -66,15 +66,16 @@
 	})
 	for _, tea := range rnd.teams {
 		if tea.Waiting > 0 || tea.Running > 0 {
-			rnd.weights += tea.Weight
+			rnd.totalWeight += tea.Weight
 		}
 	}
 	return rnd
 }
 
-// trusted returns the VMs that no member suspects, or all of them when none is
-// left: a suspicion that fits every VM says more about the member.
-func (dsp Dispatcher) trusted(usable []vm.VM) []vm.VM {
+// unsuspected returns the VMs that no member suspects. When members suspect
+// every VM it returns all of them, because the fault is then more likely at the
+// members.
+func (dsp Dispatcher) unsuspected(usable []vm.VM) []vm.VM {
 	var suspects []string
 	itr := dsp.reports.Iterator()
 	for !itr.Done() {
@@ -84,13 +85,13 @@
 	if len(suspects) == 0 {
 		return usable
 	}
-	trusted := slices.DeleteFunc(slices.Clone(usable), func(one vm.VM) bool {
+	unsuspected := slices.DeleteFunc(slices.Clone(usable), func(one vm.VM) bool {
 		return slices.Contains(suspects, one.ID)
 	})
-	if len(trusted) == 0 {
+	if len(unsuspected) == 0 {
 		return usable
 	}
-	return trusted
+	return unsuspected
 }
 
 func (rnd *round) addRunning(cfg *table.Config, rep report) {
@@ -105,7 +106,7 @@
 func (rnd *round) occupy(cfg *table.Config, vmID, team string, reserve bool, count int) {
 	rnd.team(cfg, team).Running += count
 	if !reserve {
-		rnd.plain += count
+		rnd.unreserved += count
 	}
 	for i := range rnd.slots {
 		if rnd.slots[i].vm == vmID {
@@ -134,8 +135,8 @@
 	}
 }
 
-// team returns the state of a team, adding it if need be. The pointer holds
-// until the next call.
+// team returns the state of a team, adding it if necessary. The pointer is
+// valid until the next call.
 func (rnd *round) team(cfg *table.Config, name string) *share.Team {
 	for i := range rnd.teams {
 		if rnd.teams[i].Name == name {
@@ -150,45 +151,46 @@
 	return &rnd.teams[len(rnd.teams)-1]
 }
 
-// grantOne gives one slot away. Work that was tried on every VM with a free slot
-// sits this round out.
+// grantOne grants one slot. It skips work for which every VM with a free slot
+// was already tried.
 func (rnd *round) grantOne() (dec Decision, ok bool) {
 	for {
 		at := rnd.pickLane()
 		if at < 0 {
 			return Decision{}, false
 		}
-		slot := rnd.freest(rnd.lanes[at].avoid)
+		slot := rnd.leastLoaded(rnd.lanes[at].avoid)
 		if slot >= 0 {
-			return rnd.give(at, slot), true
+			return rnd.grantSlot(at, slot), true
 		}
 		if len(rnd.lanes[at].avoid) == 0 {
 			return Decision{}, false
 		}
-		rnd.sitOut(at)
+		rnd.skipLane(at)
 	}
 }
 
-func (rnd *round) give(at, slot int) Decision {
+func (rnd *round) grantSlot(at, slot int) Decision {
 	lan := &rnd.lanes[at]
 	lan.waiting--
 	rnd.slots[slot].used++
-	reserve := rnd.plain >= rnd.plainLimit
+	reserve := rnd.unreserved >= rnd.unreservedLimit
 	if !reserve {
-		rnd.plain++
+		rnd.unreserved++
 	}
-	rnd.take(lan.team, 1, 1)
+	rnd.updateTeam(lan.team, 1, 1)
 	grt := message.Grant{VM: rnd.slots[slot].vm, Team: lan.team, Urgency: lan.urgency, Retry: lan.retry, Reserve: reserve}
 	return Decision{Member: lan.member, Grant: grt}
 }
 
-func (rnd *round) sitOut(at int) {
-	rnd.take(rnd.lanes[at].team, 0, rnd.lanes[at].waiting)
+func (rnd *round) skipLane(at int) {
+	rnd.updateTeam(rnd.lanes[at].team, 0, rnd.lanes[at].waiting)
 	rnd.lanes[at].waiting = 0
 }
 
-// take moves work of a team from waiting to running.
-func (rnd *round) take(team string, running, waiting int) {
+// updateTeam adds to the team's running work and subtracts from its waiting
+// work.
+func (rnd *round) updateTeam(team string, running, waiting int) {
 	for i := range rnd.teams {
 		if rnd.teams[i].Name == team {
 			rnd.teams[i].Running += running
@@ -197,9 +199,9 @@
 	}
 }
 
-// freest returns the VM with the largest part of its slots free, other than
-// those to avoid, or -1.
-func (rnd *round) freest(avoid []string) int {
+// leastLoaded returns the index of the VM with the largest fraction of its
+// slots free, excluding those to avoid, or -1.
+func (rnd *round) leastLoaded(avoid []string) int {
 	best := -1
 	for i, slt := range rnd.slots {
 		if slt.used >= slt.size || slices.Contains(avoid, slt.vm) {
@@ -232,25 +234,25 @@
 	return -1
 }
 
-// urgentWithinShare returns the teams with their urgent work as what waits,
-// less those that hold their share of the pool already.
+// urgentWithinShare returns the teams with only their urgent work as waiting,
+// and none for teams that already use their share of the pool.
 func (rnd *round) urgentWithinShare() []share.Team {
-	teams := rnd.withWaiting(func(lan laneState) bool { return lan.urgency == table.UrgencyUrgent })
+	teams := rnd.teamsWaiting(func(lan laneState) bool { return lan.urgency == table.UrgencyUrgent })
 	for i, tea := range teams {
-		if tea.Running*rnd.weights >= rnd.total*tea.Weight {
+		if tea.Running*rnd.totalWeight >= rnd.totalSlots*tea.Weight {
 			teams[i].Waiting = 0
 		}
 	}
 	return teams
 }
 
-// startable returns the teams with all the work that the reserve for urgent
-// work leaves room for.
+// startable returns the teams with the waiting work that may start without
+// using the reserve for anything but urgent work.
 func (rnd *round) startable() []share.Team {
-	return rnd.withWaiting(rnd.mayStart)
+	return rnd.teamsWaiting(rnd.mayStart)
 }
 
-func (rnd *round) withWaiting(counts func(laneState) bool) []share.Team {
+func (rnd *round) teamsWaiting(counts func(laneState) bool) []share.Team {
 	teams := slices.Clone(rnd.teams)
 	for i := range teams {
 		teams[i].Waiting = 0
@@ -264,5 +266,5 @@
 }
 
 func (rnd *round) mayStart(lan laneState) bool {
-	return lan.urgency == table.UrgencyUrgent || rnd.plain < rnd.plainLimit
+	return lan.urgency == table.UrgencyUrgent || rnd.unreserved < rnd.unreservedLimit
 }
