--- a/internal/core/work/work.go
+++ b/internal/core/work/work.go
@@ -1,5 +1,6 @@
-// Package work describes a piece of work at the entry that took it: a request
-// whose caller waits, or a task whose record is in the store.
+// Package work models the work of the entry that accepted it: a request whose
+// caller waits for the response, or a task whose record is in the store. The VM
+// of an attempt is the machine whose executor or worker runs it.
 package work
 
 import (
@@ -9,22 +10,22 @@
 	"github.com/balsamgauge/balsamgauge/pkg/table"
 )
 
-// ID names a piece of work within one entry. It is never used twice by the
-// same incarnation.
+// ID identifies a piece of work within one entry. An incarnation of the entry
+// never reuses it.
 type ID uint64
 
-// Phase is how far a piece of work has come.
+// Phase is the stage of processing that a piece of work has reached.
 type Phase int
 
 // The phases, in order.
 const (
-	// PhaseWaiting work waits for a grant from its pool's dispatcher.
+	// PhaseWaiting work is queued for a grant from its pool's dispatcher.
 	PhaseWaiting Phase = iota
-	// PhaseRecording work waits for the store to hold a record of its attempt.
+	// PhaseRecording work waits for the record of its attempt to be stored.
 	PhaseRecording
-	// PhaseRunning work was sent to a VM.
+	// PhaseRunning work has been sent to a VM.
 	PhaseRunning
-	// PhaseReporting work ended and waits for the store to hold its result.
+	// PhaseReporting work has ended and waits for its result to be stored.
 	PhaseReporting
 )
 
@@ -32,64 +33,66 @@
 type Work struct {
 	ID   ID
 	Kind table.Kind
-	// TaskID is set for tasks and names the task fleet-wide.
+	// TaskID is the fleet-wide ID of a task, and empty for a request.
 	TaskID string
-	// KeyHash is empty on a route open to callers without a key.
+	// KeyHash is empty on a route that is open to callers without a key.
 	KeyHash string
 	Team    string
 	Route   string
 	Pool    string
 	Urgency table.Urgency
-	// Repeatable says that a second run does no harm.
+	// Repeatable reports whether running the work twice is harmless.
 	Repeatable bool
 	Arrived    time.Time
-	// Deadline is not before Arrived.
+	// Deadline is never before Arrived.
 	Deadline time.Time
 	Phase    Phase
-	// Attempt counts the starts; it fences an earlier start of the same work.
+	// Attempt counts the starts. It fences earlier starts of the same work.
 	Attempt int
-	// VM is where the last attempt runs or ran; empty before the first.
+	// VM is the VM of the last attempt; empty before the first.
 	VM string
-	// GrantedAt is when the dispatcher granted the slot that the last attempt
-	// uses. Work that takes over a slot takes over its time.
+	// GrantedAt is the time at which the dispatcher granted the slot of the
+	// last attempt. Work that reuses a slot inherits the time.
 	GrantedAt time.Time
-	// Reserve says that the slot of the last attempt is of the reserve for
-	// urgent work.
+	// Reserve reports whether the slot of the last attempt belongs to the
+	// reserve for urgent work.
 	Reserve bool
-	// Tried lists the VMs of the earlier attempts; no attempt repeats one.
+	// Tried lists the VMs of earlier attempts. Each attempt uses a different
+	// VM.
 	Tried []string
-	// MayHaveRun says that some attempt ended without anybody's knowing whether
-	// it ran. It is never unset.
+	// MayHaveRun reports whether some attempt ended without confirmation of
+	// whether it ran. It is never reset.
 	MayHaveRun bool
-	// NotBefore delays a retry.
+	// NotBefore is the earliest time of a retry.
 	NotBefore time.Time
-	// Cancelled says that the caller no longer wants the work.
+	// Cancelled reports whether the work was cancelled.
 	Cancelled bool
-	// Payload is a task's; requests keep their body outside the core.
+	// Payload is the payload of a task. The bodies of requests stay outside the
+	// core.
 	Payload []byte
 }
 
-// Lane is work that one team has waiting at one urgency.
+// Lane identifies a queue of one team's waiting work at one urgency.
 type Lane struct {
 	Team    string
 	Urgency table.Urgency
-	// Retry says that the work was tried before, so that some VMs are out of
-	// the question.
+	// Retry reports whether the work has had an attempt, which excludes some
+	// VMs.
 	Retry bool
 }
 
-// Lane returns the lane that the work waits in.
+// Lane returns the lane that the work is queued in.
 func (wrk Work) Lane() Lane {
 	return Lane{Team: wrk.Team, Urgency: wrk.Urgency, Retry: len(wrk.Tried) > 0}
 }
 
-// WithPhase returns the work in another phase.
+// WithPhase returns the work in the given phase.
 func (wrk Work) WithPhase(pha Phase) Work {
 	wrk.Phase = pha
 	return wrk
 }
 
-// Slot is a slot on a VM, as a dispatcher granted it.
+// Slot is a slot on a VM, as granted by a dispatcher.
 type Slot struct {
 	VM        string
 	GrantedAt time.Time
@@ -101,7 +104,7 @@
 	return Slot{VM: wrk.VM, GrantedAt: wrk.GrantedAt, Reserve: wrk.Reserve}
 }
 
-// WithStart returns the work as it starts on a slot.
+// WithStart returns the work with a new attempt on a slot.
 func (wrk Work) WithStart(slt Slot, pha Phase) Work {
 	wrk.Attempt++
 	wrk.VM = slt.VM
@@ -111,8 +114,8 @@
 	return wrk
 }
 
-// WithRetry returns the work waiting again, not to be started before a time,
-// and never again on the VM that it last ran on.
+// WithRetry returns the work in the waiting phase, not to start before the
+// given time and never again on the VM of its last attempt.
 func (wrk Work) WithRetry(notBefore time.Time) Work {
 	wrk.Tried = append(slices.Clone(wrk.Tried), wrk.VM)
 	wrk.Phase = PhaseWaiting
@@ -120,20 +123,20 @@
 	return wrk
 }
 
-// WithMayHaveRun returns the work after an attempt of which nobody knows whether
-// it ran.
+// WithMayHaveRun returns the work after an attempt that may or may not have
+// run.
 func (wrk Work) WithMayHaveRun() Work {
 	wrk.MayHaveRun = true
 	return wrk
 }
 
-// WithCancelled returns the work marked as no longer wanted.
+// WithCancelled returns the work marked as cancelled.
 func (wrk Work) WithCancelled() Work {
 	wrk.Cancelled = true
 	return wrk
 }
 
-// HasTried reports whether an earlier attempt ran on a VM.
+// HasTried reports whether an earlier attempt used a VM.
 func (wrk Work) HasTried(vm string) bool {
 	return slices.Contains(wrk.Tried, vm)
 }
