--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -1,5 +1,5 @@
-// Package queue holds the work that waits at one entry for one pool, in a lane
-// for each team and urgency.
+// Package queue queues one entry's waiting work for one pool, with a lane for
+// each combination of team, urgency and retry.
 package queue
 
 import (
@@ -12,16 +12,16 @@
 
 // Queue is the work waiting for a pool. It is immutable.
 type Queue struct {
-	// lanes holds no empty lane.
+	// lanes holds only lanes that are not empty.
 	lanes *immutable.SortedMap[work.Lane, lane]
 	// size is the number of pieces of work in all lanes.
 	size int
 }
 
-// lane is ordered by arrival.
-type lane = *immutable.SortedMap[place, struct{}]
+// lane is ordered by arrival time.
+type lane = *immutable.SortedMap[position, struct{}]
 
-type place struct {
+type position struct {
 	arrived time.Time
 	id      work.ID
 }
@@ -33,7 +33,7 @@
 		cmp.Compare(retryRank(a), retryRank(b)))
 }
 
-// retryRank lets work that was tried before go first.
+// retryRank orders retries before first attempts.
 func retryRank(lan work.Lane) int {
 	if lan.Retry {
 		return 0
@@ -41,9 +41,9 @@
 	return 1
 }
 
-type placeComparer struct{}
+type positionComparer struct{}
 
-func (placeComparer) Compare(a, b place) int {
+func (positionComparer) Compare(a, b position) int {
 	return cmp.Or(a.arrived.Compare(b.arrived), cmp.Compare(a.id, b.id))
 }
 
@@ -52,30 +52,30 @@
 	return Queue{lanes: immutable.NewSortedMap[work.Lane, lane](laneComparer{})}
 }
 
-// Len returns how much work waits.
+// Len returns the number of pieces of work in the queue.
 func (que Queue) Len() int { return que.size }
 
 // With returns the queue with a piece of work added.
 func (que Queue) With(wrk work.Work) Queue {
 	lan, ok := que.lanes.Get(wrk.Lane())
 	if !ok {
-		lan = immutable.NewSortedMap[place, struct{}](placeComparer{})
+		lan = immutable.NewSortedMap[position, struct{}](positionComparer{})
 	}
-	que.lanes = que.lanes.Set(wrk.Lane(), lan.Set(place{wrk.Arrived, wrk.ID}, struct{}{}))
+	que.lanes = que.lanes.Set(wrk.Lane(), lan.Set(position{wrk.Arrived, wrk.ID}, struct{}{}))
 	que.size++
 	return que
 }
 
-// Without returns the queue with a piece of work taken out.
+// Without returns the queue with a piece of work removed.
 func (que Queue) Without(wrk work.Work) Queue {
 	lan, ok := que.lanes.Get(wrk.Lane())
 	if !ok {
 		return que
 	}
-	if _, ok := lan.Get(place{wrk.Arrived, wrk.ID}); !ok {
+	if _, ok := lan.Get(position{wrk.Arrived, wrk.ID}); !ok {
 		return que
 	}
-	lan = lan.Delete(place{wrk.Arrived, wrk.ID})
+	lan = lan.Delete(position{wrk.Arrived, wrk.ID})
 	if lan.Len() == 0 {
 		que.lanes = que.lanes.Delete(wrk.Lane())
 	} else {
@@ -85,22 +85,24 @@
 	return que
 }
 
-// A LaneBacklog is how much work waits in a lane, and since when the oldest has.
+// LaneBacklog is the number of pieces of work in a lane and the arrival time of
+// the oldest.
 type LaneBacklog struct {
 	Lane    work.Lane
 	Waiting int
 	Oldest  time.Time
 }
 
-// Backlog returns the lanes, the most urgent first, then by team.
+// Backlog returns the backlog of each lane, the most urgent first, then by
+// team.
 func (que Queue) Backlog() []LaneBacklog {
 	counts := make([]LaneBacklog, 0, que.lanes.Len())
 	itr := que.lanes.Iterator()
 	for !itr.Done() {
-		lan, places, _ := itr.Next()
-		first := places.Iterator()
+		lan, positions, _ := itr.Next()
+		first := positions.Iterator()
 		oldest, _, _ := first.Next()
-		counts = append(counts, LaneBacklog{Lane: lan, Waiting: places.Len(), Oldest: oldest.arrived})
+		counts = append(counts, LaneBacklog{Lane: lan, Waiting: positions.Len(), Oldest: oldest.arrived})
 	}
 	return counts
 }
@@ -108,15 +110,15 @@
 // Oldest returns the IDs of up to limit pieces of work of a lane, the oldest
 // first.
 func (que Queue) Oldest(lan work.Lane, limit int) []work.ID {
-	places, ok := que.lanes.Get(lan)
+	positions, ok := que.lanes.Get(lan)
 	if !ok {
 		return nil
 	}
 	var ids []work.ID
-	itr := places.Iterator()
+	itr := positions.Iterator()
 	for !itr.Done() && len(ids) < limit {
-		plc, _, _ := itr.Next()
-		ids = append(ids, plc.id)
+		pos, _, _ := itr.Next()
+		ids = append(ids, pos.id)
 	}
 	return ids
 }
--- a/internal/core/queue/rate.go
+++ b/internal/core/queue/rate.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// rateWindow is the time over which starts are averaged.
+// rateWindow is the time constant of the decaying average.
 const rateWindow = time.Second
 
-// minSample is how many starts of late the rate must rest on to be told.
-const minSample = 3
+// minStarts is the decayed number of starts below which no wait is estimated.
+const minStarts = 3
 
-// Rate is how much work has started of late, as a mean that decays. It is
-// immutable.
+// Rate is an exponentially decaying average of the work started within
+// rateWindow. It is immutable.
 type Rate struct {
-	// starts is the decayed number of starts in a window, as of at.
+	// starts is the decayed number of starts at time at.
 	starts float64
 	at     time.Time
 }
@@ -24,11 +24,12 @@
 	return Rate{starts: rat.decayed(now) + 1, at: now}
 }
 
-// EstimateWait returns how long work with so much ahead of it will wait, and whether
-// enough has started of late to tell.
+// EstimateWait returns how long work with the given number of pieces ahead of
+// it will wait, and whether enough work started within rateWindow for an
+// estimate.
 func (rat Rate) EstimateWait(now time.Time, ahead int) (span time.Duration, known bool) {
 	starts := rat.decayed(now)
-	if starts < minSample {
+	if starts < minStarts {
 		return 0, false
 	}
 	return time.Duration(float64(ahead) / starts * float64(rateWindow)), true
