--- a/internal/core/share/share.go
+++ b/internal/core/share/share.go
@@ -1,26 +1,26 @@
 // Package share divides the slots of a full pool between teams in weighted
 // max-min proportion.
 //
-// Pick is the incremental rule that the dispatcher uses: each free slot goes
-// to the team that runs the least for its weight. WaterFill is the naive
-// division of a fixed number of slots, against which the rule is tested.
+// Pick is the incremental rule that the dispatcher uses: each free slot goes to
+// the team that runs the least relative to its weight. WaterFill is the direct
+// division of a fixed number of slots, which serves as the reference in tests.
 package share
 
 import "cmp"
 
-// Team is one team's stand at the moment that a slot is free.
+// Team is the state of one team when a slot becomes free.
 type Team struct {
 	Name string
 	// Weight is at least 1.
 	Weight int
 	// Running counts the slots that the team holds.
 	Running int
-	// Waiting counts the work that could start at once.
+	// Waiting counts the work that is ready to start.
 	Waiting int
 }
 
-// Pick returns the index of the team to give a free slot to, or -1 when no
-// team has work waiting. Equal teams go by name.
+// Pick returns the index of the team that receives the next free slot, or -1
+// when no team has work waiting. Ties are broken by name.
 func Pick(teams []Team) int {
 	best := -1
 	for i, tea := range teams {
@@ -34,26 +34,27 @@
 	return best
 }
 
-// less compares how far each team is below its share, halfway to one slot more
-// (the method of Webster and Sainte-Laguë), by cross-multiplication to stay
-// exact. Comparing with a whole slot more favours heavy teams: it was up to 1.6
-// slots off the fractional shares, this way up to 1.
+// less compares how far each team is below its share, measured at half a slot
+// more than it runs (the Webster/Sainte-Laguë method). It cross-multiplies to
+// stay exact. Measuring at a whole slot more favours heavy teams: the result
+// was up to 1.6 slots off the fractional shares, compared with up to 1 for this
+// method.
 func less(a, b Team) bool {
 	left := (2*a.Running + 1) * b.Weight
 	right := (2*b.Running + 1) * a.Weight
 	return cmp.Or(cmp.Compare(left, right), cmp.Compare(a.Name, b.Name)) < 0
 }
 
-// A Demand is what one team asks for.
+// Demand is the number of slots that one team could use.
 type Demand struct {
 	Name   string
 	Weight int
 	Wanted int
 }
 
-// WaterFill divides slots by weighted max-min: nobody gets more than it wants,
-// and what one leaves goes to the others by weight. The result is fractional,
-// in the order of the demands.
+// WaterFill divides slots by weighted max-min: no team gets more than it wants,
+// and unused shares are divided among the others by weight. The result is
+// fractional, in the order of the demands.
 func WaterFill(slots int, demands []Demand) []float64 {
 	got := make([]float64, len(demands))
 	left := float64(slots)
--- a/internal/core/share/share_test.go
+++ b/internal/core/share/share_test.go
@@ -22,8 +22,8 @@
 	os.Exit(m.Run())
 }
 
-// fill gives slots one by one, as the dispatcher does.
-func fill(slots int, demands []share.Demand) []share.Team {
+// assignSlots assigns slots one by one, as the dispatcher does.
+func assignSlots(slots int, demands []share.Demand) []share.Team {
 	teams := make([]share.Team, len(demands))
 	for i, dem := range demands {
 		teams[i] = share.Team{Name: dem.Name, Weight: dem.Weight, Waiting: dem.Wanted}
@@ -39,12 +39,12 @@
 	return teams
 }
 
-// maxDeviation is how many slots a team may be off its fractional share, since
-// slots are whole.
+// maxDeviation is the number of slots by which a team may differ from its
+// fractional share, because slots are whole.
 const maxDeviation = 1.5
 
-// TestPickFollowsWaterFill compares slot by slot with the naive division, over
-// random demands.
+// TestPickFollowsWaterFill compares the incremental rule with the reference
+// division, over random demands.
 func TestPickFollowsWaterFill(t *testing.T) {
 	worst := 0.0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -59,23 +59,23 @@
 		slots := rapid.IntRange(0, 200).Draw(rt, "slots")
 		want := share.WaterFill(slots, demands)
 		total, wanted := 0, 0
-		for i, tea := range fill(slots, demands) {
+		for i, tea := range assignSlots(slots, demands) {
 			total += tea.Running
 			wanted += demands[i].Wanted
 			deviation := math.Abs(float64(tea.Running) - want[i])
 			worst = max(worst, deviation)
 			if deviation > maxDeviation {
-				rt.Fatalf("%s has %d slots and a share of %.2f; %+v of %d slots", tea.Name, tea.Running, want[i], demands, slots)
+				rt.Fatalf("team %s holds %d slots, its share is %.2f; demands %+v for %d slots", tea.Name, tea.Running, want[i], demands, slots)
 			}
 		}
 		if total != min(slots, wanted) {
-			rt.Fatalf("%d of %d slots given for %d wanted", total, slots, wanted)
+			rt.Fatalf("%d of %d slots assigned, %d wanted", total, slots, wanted)
 		}
 	})
-	t.Logf("worst deviation: %.2f slots", worst)
+	t.Logf("largest deviation: %.2f slots", worst)
 }
 
-func TestWaterFillSharesWhatOthersLeave(t *testing.T) {
+func TestWaterFillRedistributesUnusedShares(t *testing.T) {
 	got := share.WaterFill(10, []share.Demand{{Name: "a", Weight: 1, Wanted: 1}, {Name: "b", Weight: 1, Wanted: 20}, {Name: "c", Weight: 2, Wanted: 20}})
 	assert.DeepEqual(t, got, []float64{1, 3, 6})
 }
