--- a/internal/core/permit/doc.go
+++ b/internal/core/permit/doc.go
@@ -1,10 +1,14 @@
-// Package permit divides each team's upper limit into permits that entries
-// hold, so that the work running fleet-wide never passes the limit.
+// Package permit divides each team's fleet-wide limit into permits held by the
+// entries, so that the running work never exceeds the limit.
 //
-// An entry's permits are its allotment in the configuration, plus all that it
-// received from other members, less all that it sent to them. Transfers are
+// An entry's permits are its allotment in the configuration, plus those
+// received from other members, less those sent to them. Transfers are
 // cumulative counters, one for each team, sender and receiver: a lost message
-// delays permits, and a repeated or reordered one changes nothing. Allotments
-// sum to the limit, and a transfer is subtracted at its sender before it is
-// added at its receiver, so the sum over all entries never exceeds the limit.
+// delays permits, and a duplicated or reordered one changes nothing. Allotments
+// sum to the limit, and the sender subtracts a transfer before the receiver
+// adds it, so the sum over all entries never exceeds the limit.
+//
+// Before members are removed, each remaining member ends its transfers with
+// them and reports the net result as its settlement, which the configuration
+// merges into the allotments.
 package permit
--- a/internal/core/permit/ledger.go
+++ b/internal/core/permit/ledger.go
@@ -8,14 +8,13 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Ledger is one entry's record of the permits that it sent and received. It is
-// immutable.
+// Ledger records the permits that one entry sent and received. It is immutable.
 type Ledger struct {
 	// self is the ID of the entry.
 	self string
 	// accounts maps a team to its counters.
 	accounts *immutable.Map[string, account]
-	// frozen is sorted. Transfers to and from these members have ended.
+	// frozen is sorted and lists the members with which transfers have ended.
 	frozen []string
 }
 
@@ -24,20 +23,19 @@
 
 type counter struct {
 	member string
-	// sent and received are cumulative and never go down.
+	// sent and received are cumulative and never decrease.
 	sent     int64
 	received int64
 }
 
-// NewLedger returns the ledger of an entry that has neither sent nor received
-// a permit.
+// NewLedger returns the ledger of an entry without transfers.
 func NewLedger(self string) Ledger {
 	return Ledger{self: self, accounts: immutable.NewMap[string, account](nil)}
 }
 
-// Permits returns how many pieces of a team's work the entry may have running.
-// It is negative while the entry is in debt, and zero for an entry that does
-// not vote: only what the configuration names can be reclaimed.
+// Permits returns how many pieces of a team's work the entry may run. It is
+// negative while the entry is in debt, and zero for an entry that is not a
+// voter: only permits of members listed in the configuration can be reclaimed.
 func (led Ledger) Permits(cfg *table.Config, team string) int {
 	if _, votes := cfg.Voter(led.self); !votes {
 		return 0
@@ -57,7 +55,8 @@
 }
 
 // WithSent returns the ledger after sending permits to a member, and the
-// cumulative count to tell it. The caller has checked that the rights suffice.
+// cumulative count to report to it. The caller must check that the entry has
+// enough permits.
 func (led Ledger) WithSent(team, to string, permits int) (next Ledger, total int64) {
 	ctr := led.counter(team, to)
 	if led.IsFrozen(to) {
@@ -67,9 +66,9 @@
 	return led.withCounter(team, ctr), ctr.sent
 }
 
-// WithReceived returns the ledger after hearing a member's cumulative count.
-// A count that is not higher than an earlier one, or that comes from a member
-// with whom transfers have ended, changes nothing.
+// WithReceived returns the ledger after receiving a member's cumulative count.
+// A count that is not higher than an earlier one, or that comes from a frozen
+// member, changes nothing.
 func (led Ledger) WithReceived(team, from string, total int64) Ledger {
 	ctr := led.counter(team, from)
 	if led.IsFrozen(from) || total <= ctr.received {
@@ -91,9 +90,9 @@
 	return led
 }
 
-// WithVoters returns the ledger without the counters of members that do not
-// vote in a new configuration: their transfers were settled into its
-// allotments. They stay frozen, so that a late message of theirs changes
+// WithVoters returns the ledger without the counters of members that are not
+// voters in a new configuration: their transfers were settled into its
+// allotments. They stay frozen, so that a late message from them changes
 // nothing.
 func (led Ledger) WithVoters(cfg *table.Config) Ledger {
 	var gone []string
@@ -115,8 +114,8 @@
 	return led.WithFrozen(gone)
 }
 
-// Net returns, for each team, what the entry received from the given members
-// less what it sent to them. It is final once they are frozen.
+// Net returns, for each team, the permits received from the given members less
+// those sent to them. The result is final once the members are frozen.
 func (led Ledger) Net(members []string) []table.TeamPermits {
 	var nets []table.TeamPermits
 	itr := led.accounts.Iterator()
@@ -142,8 +141,8 @@
 	Count int64
 }
 
-// SentTo returns every cumulative count for a member, sorted by team. Telling
-// a member all of them makes up for lost messages.
+// SentTo returns every cumulative count for a member, sorted by team. Sending
+// all of them makes up for lost messages.
 func (led Ledger) SentTo(member string) []Total {
 	var totals []Total
 	itr := led.accounts.Iterator()
@@ -157,10 +156,11 @@
 	return totals
 }
 
-// Sent returns the cumulative permits of a team sent to a member.
+// Sent returns the cumulative count of a team's permits sent to a member.
 func (led Ledger) Sent(team, to string) int64 { return led.counter(team, to).sent }
 
-// Received returns the cumulative permits of a team received from a member.
+// Received returns the cumulative count of a team's permits received from a
+// member.
 func (led Ledger) Received(team, from string) int64 { return led.counter(team, from).received }
 
 func (led Ledger) counter(team, member string) counter {
