--- a/internal/core/member/doc.go
+++ b/internal/core/member/doc.go
@@ -1,7 +1,8 @@
-// Package member keeps what an entry knows of the other entries: who is heard,
-// who leads a pool's dispatching, and whether the entry is fresh enough to
-// start work.
+// Package member tracks the other entries that one entry knows: which are live,
+// which of them leads a subject such as a pool's dispatching, and whether the
+// entry's configuration is fresh enough to start work.
 //
-// It assumes that a member's ID is unique to one incarnation of one process,
-// so that a restarted process is a new member.
+// A member's ID must be unique to one incarnation of one process, so that a
+// restarted process is a new member. VM here is the machine that a member runs
+// on.
 package member
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -9,52 +9,52 @@
 	"github.com/balsamgauge/balsamgauge/pkg/table"
 )
 
-// Timing of the freshness rule and of failure detection.
+// Timeouts of the freshness rule and of failure detection.
 const (
-	// FreshnessTimeout is how long contact with the store or hearing a majority lets
-	// an entry start work.
+	// FreshnessTimeout is how long after contact with the store or with a
+	// majority of the voters an entry may start work.
 	FreshnessTimeout = 2 * time.Second
-	// LivenessTimeout is how long after its last message a member no longer counts
-	// as live. Urgent work that waits for a lost dispatcher must still start
-	// within 1.2 s.
+	// LivenessTimeout is the time after a member's last message at which it no
+	// longer counts as live. Urgent work that waits for a failed dispatcher
+	// must still start within 1.2 s.
 	LivenessTimeout = 600 * time.Millisecond
 	// HeartbeatInterval is the time between heartbeats to each peer.
 	HeartbeatInterval = 200 * time.Millisecond
 )
 
-// Peer is what an entry knows of another one.
+// Peer is the last known state of another entry.
 type Peer struct {
 	ID string
 	AZ string
-	// LastSeenAt is when the last message came; it only moves forward.
+	// LastSeenAt is the time of the last message. It never goes back.
 	LastSeenAt time.Time
-	// ConfirmedAt is when the entry sent the latest heartbeat that the peer has
-	// answered. What the peer reported is at least as new as that, however
-	// long its answer was on the way.
+	// ConfirmedAt is the time at which the entry sent the latest heartbeat that
+	// the peer has echoed. The peer's report is at least as recent, however
+	// long its message was in transit.
 	ConfirmedAt time.Time
 	// Revision is the highest configuration revision that the peer reported.
 	Revision int64
-	// Leaving says that the peer is shutting down gracefully.
+	// Leaving reports whether the peer is shutting down gracefully.
 	Leaving bool
-	// Connected says that a link to the peer is up.
+	// Connected reports whether a link to the peer is up.
 	Connected bool
 }
 
-// View is one entry's knowledge of the others. It is immutable.
+// View is one entry's state of the other entries. It is immutable.
 type View struct {
 	self string
-	// peers is sorted by ID and does not hold the entry itself.
+	// peers is sorted by ID and excludes the entry itself.
 	peers []Peer
-	// storeAt is when the store last answered a read of the configuration's
-	// head.
-	storeAt time.Time
-	leaving bool
-	// gone is sorted. These members certainly run no more: the platform took
-	// their VM away, or an operator vouches for it.
+	// storeContactAt is the send time of the latest read of the configuration's
+	// head that the store answered.
+	storeContactAt time.Time
+	leaving        bool
+	// gone is sorted and lists members that are guaranteed to have terminated:
+	// the platform removed their VM, or an operator confirmed it.
 	gone []string
 }
 
-// NewView returns the view of an entry that has heard nobody.
+// NewView returns the view of an entry that has received no message.
 func NewView(self string) View {
 	return View{self: self}
 }
@@ -65,14 +65,15 @@
 // Leaving reports whether the entry itself is shutting down.
 func (vie View) Leaving() bool { return vie.leaving }
 
-// StoreContactAt returns when the store last answered.
-func (vie View) StoreContactAt() time.Time { return vie.storeAt }
+// StoreContactAt returns the send time of the latest read that the store
+// answered.
+func (vie View) StoreContactAt() time.Time { return vie.storeContactAt }
 
-// Peers returns the known peers, sorted by ID. The caller must not change the
+// Peers returns the known peers, sorted by ID. The caller must not modify the
 // slice.
 func (vie View) Peers() []Peer { return vie.peers }
 
-// Peer returns what is known of a member.
+// Peer returns the last known state of a member.
 func (vie View) Peer(id string) (per Peer, ok bool) {
 	at, found := vie.find(id)
 	if !found {
@@ -81,7 +82,7 @@
 	return vie.peers[at], true
 }
 
-// WithPeer returns the view with a peer's record replaced.
+// WithPeer returns the view with the state of a peer replaced.
 func (vie View) WithPeer(per Peer) View {
 	at, found := vie.find(per.ID)
 	vie.peers = slices.Clone(vie.peers)
@@ -103,17 +104,17 @@
 }
 
 // WithStoreContact returns the view after the store answered a read that was
-// sent at a given time.
+// sent at the given time.
 func (vie View) WithStoreContact(sentAt time.Time) View {
-	if sentAt.After(vie.storeAt) {
-		vie.storeAt = sentAt
+	if sentAt.After(vie.storeContactAt) {
+		vie.storeContactAt = sentAt
 	}
 	return vie
 }
 
-// WithGone returns the view after learning that members certainly run no more.
-// They can be heard by nobody, so no majority needs them: all that still run
-// and start work hear a majority of the same smaller set.
+// WithGone returns the view after members were confirmed to have terminated.
+// Such members send no messages, so no majority needs them: every entry that
+// still starts work is in contact with a majority of the same smaller set.
 func (vie View) WithGone(ids []string) View {
 	gone := append(slices.Clone(vie.gone), ids...)
 	slices.Sort(gone)
@@ -121,7 +122,7 @@
 	return vie
 }
 
-// IsGone reports whether a member certainly runs no more.
+// IsGone reports whether a member is confirmed to have terminated.
 func (vie View) IsGone(id string) bool {
 	_, found := slices.BinarySearch(vie.gone, id)
 	return found
@@ -133,8 +134,9 @@
 	return vie
 }
 
-// Live returns the IDs of the members that are heard and can be sent to, the
-// entry itself among them, sorted. Members that are leaving are left out.
+// Live returns the IDs of the members that are connected and were seen within
+// LivenessTimeout, including the entry itself, sorted. Members that are
+// shutting down are excluded.
 func (vie View) Live(now time.Time) []string {
 	ids := make([]string, 0, len(vie.peers)+1)
 	for _, per := range vie.peers {
@@ -149,14 +151,15 @@
 	return ids
 }
 
-// HasQuorum reports whether the entry heard more than half of the voters
-// that are not gone within FreshFor, counting itself when it votes.
+// HasQuorum reports whether more than half of the voters that are not gone were
+// confirmed within FreshnessTimeout, counting the entry itself if it is a
+// voter.
 func (vie View) HasQuorum(now time.Time, cfg *table.Config) bool {
 	return vie.isMajority(cfg, func(per Peer) bool { return isWithin(per.ConfirmedAt, now, FreshnessTimeout) })
 }
 
-// isMajority reports whether a condition holds of more than half of the voters
-// that are not gone. It holds of the entry itself.
+// isMajority reports whether a condition holds for more than half of the voters
+// that are not gone. It always holds for the entry itself.
 func (vie View) isMajority(cfg *table.Config, holds func(per Peer) bool) bool {
 	voters, count := 0, 0
 	for _, vtr := range cfg.Voters {
@@ -172,17 +175,18 @@
 	return 2*count > voters
 }
 
-// IsFresh reports whether the entry may start work: it had contact with the
-// store, or heard a majority of the voters, within FreshFor.
+// IsFresh reports whether the entry may start work: within FreshnessTimeout it
+// had contact with the store or with a majority of the voters.
 func (vie View) IsFresh(now time.Time, cfg *table.Config) bool {
-	if isWithin(vie.storeAt, now, FreshnessTimeout) {
+	if isWithin(vie.storeContactAt, now, FreshnessTimeout) {
 		return true
 	}
 	return vie.HasQuorum(now, cfg)
 }
 
 // Acknowledged reports whether a majority of the voters that are not gone
-// reported at least the given revision, counting the entry itself when it votes.
+// reported at least the given revision, counting the entry itself if it is a
+// voter.
 func (vie View) Acknowledged(cfg *table.Config, revision int64) bool {
 	return vie.isMajority(cfg, func(per Peer) bool { return per.Revision >= revision })
 }
@@ -197,9 +201,9 @@
 	})
 }
 
-// Leader returns which of the members leads a subject, such as a pool, by
-// rendezvous hashing: the one whose hash with the subject is highest. It
-// returns "" when there are no members.
+// Leader returns the member that leads a subject, such as a pool, by rendezvous
+// hashing: the one with the highest score for the subject. It returns "" when
+// there are no members.
 func Leader(members []string, subject string) string {
 	best, bestScore := "", uint64(0)
 	for _, id := range members {
@@ -211,8 +215,8 @@
 	return best
 }
 
-// Score returns how strongly a member is drawn to a subject. It is the same at
-// every entry.
+// Score returns the rendezvous hash of a member for a subject. It is the same
+// at every entry.
 func Score(id, subject string) uint64 {
 	sum := fnv.New64a()
 	_, _ = sum.Write([]byte(subject))
@@ -221,8 +225,8 @@
 	return mix(sum.Sum64())
 }
 
-// mix spreads the bits of an FNV hash, whose high bits depend too little on
-// the last bytes. The constants are those of the SplitMix64 finalizer.
+// mix spreads the bits of an FNV hash, whose high bits depend too little on the
+// last bytes. The constants are those of the SplitMix64 finalizer.
 func mix(val uint64) uint64 {
 	val ^= val >> 30
 	val *= 0xbf58476d1ce4e5b9
