--- a/internal/core/idempotency/registry.go
+++ b/internal/core/idempotency/registry.go
@@ -1,8 +1,8 @@
-// Package idempotency remembers the idempotency keys of requests, so that what a
-// caller repeats at another entry does not run twice.
+// Package idempotency records the idempotency keys of requests, so that a
+// request repeated at another entry does not run twice.
 //
-// A few voters, its homes, remember each key. A majority of them must agree that
-// a key is new, so two entries can't both be told so.
+// Each key is recorded by a few voters, its replicas. A majority of them must
+// confirm that a key is new, so two entries can't both reserve it.
 package idempotency
 
 import (
@@ -14,123 +14,124 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Bounds of the memory.
+// Bounds of the registry.
 const (
-	// copies is how many members remember a key.
-	copies = 3
-	// KeyRetention is how long a key is remembered.
+	// replicaCount is the number of members that record a key.
+	replicaCount = 3
+	// KeyRetention is how long a key is kept.
 	KeyRetention = 10 * time.Minute
 )
 
-// Registry is what one member remembers. It is immutable.
+// Registry holds the keys that one member has recorded. It is immutable.
 type Registry struct {
-	// keys maps a hash of team and key to its first use.
-	keys *immutable.Map[string, use]
+	// keys maps a hash of team and key to the key's reservation.
+	keys *immutable.Map[string, reservation]
 }
 
-// use is the first use of a key.
-type use struct {
-	owner string
-	ask   uint64
-	at    time.Time
+// reservation is the first use of a key.
+type reservation struct {
+	owner     string
+	requestID uint64
+	at        time.Time
 }
 
-// NewRegistry returns a memory without keys.
+// NewRegistry returns an empty registry.
 func NewRegistry() Registry {
-	return Registry{keys: immutable.NewMap[string, use](nil)}
+	return Registry{keys: immutable.NewMap[string, reservation](nil)}
 }
 
-// Len returns how many keys are remembered.
-func (mem Registry) Len() int { return mem.keys.Len() }
+// Len returns the number of recorded keys.
+func (reg Registry) Len() int { return reg.keys.Len() }
 
-// WithReservation returns the memory after an entry asked for a key, and whether the key
-// is new. Asking again with the same number gets the same answer.
-func (mem Registry) WithReservation(now time.Time, hash, owner string, ask uint64) (next Registry, fresh bool) {
-	old, seen := mem.keys.Get(hash)
-	fresh = !seen || now.Sub(old.at) > KeyRetention || (old.owner == owner && old.ask == ask)
+// WithReservation returns the registry after an entry requested a key, and
+// whether the key is new. Repeating a request with the same ID returns the same
+// result.
+func (reg Registry) WithReservation(now time.Time, hash, owner string, requestID uint64) (next Registry, fresh bool) {
+	old, seen := reg.keys.Get(hash)
+	fresh = !seen || now.Sub(old.at) > KeyRetention || (old.owner == owner && old.requestID == requestID)
 	if fresh {
-		mem.keys = mem.keys.Set(hash, use{owner: owner, ask: ask, at: now})
+		reg.keys = reg.keys.Set(hash, reservation{owner: owner, requestID: requestID, at: now})
 	}
-	return mem, fresh
+	return reg, fresh
 }
 
-// WithoutReservation returns the memory after the owner of a key said that its request
-// was certainly not run.
-func (mem Registry) WithoutReservation(hash, owner string) Registry {
-	if old, seen := mem.keys.Get(hash); seen && old.owner == owner {
-		mem.keys = mem.keys.Delete(hash)
+// WithoutReservation returns the registry after the owner of a key released it,
+// because its request is guaranteed not to have run.
+func (reg Registry) WithoutReservation(hash, owner string) Registry {
+	if old, seen := reg.keys.Get(hash); seen && old.owner == owner {
+		reg.keys = reg.keys.Delete(hash)
 	}
-	return mem
+	return reg
 }
 
-// Key is a remembered key, as one member hands it on to another.
+// Key is a recorded key, as one member transfers it to another.
 type Key struct {
 	Hash  string
 	Owner string
-	// Age is how long ago it was used.
+	// Age is the time since the key was recorded.
 	Age time.Duration
 }
 
-// WithKeys returns the memory with keys that another member handed on.
-func (mem Registry) WithKeys(now time.Time, keys []Key) Registry {
+// WithKeys returns the registry with keys transferred from another member.
+func (reg Registry) WithKeys(now time.Time, keys []Key) Registry {
 	for _, key := range keys {
-		if _, seen := mem.keys.Get(key.Hash); !seen {
-			mem.keys = mem.keys.Set(key.Hash, use{owner: key.Owner, at: now.Add(-key.Age)})
+		if _, seen := reg.keys.Get(key.Hash); !seen {
+			reg.keys = reg.keys.Set(key.Hash, reservation{owner: key.Owner, at: now.Add(-key.Age)})
 		}
 	}
-	return mem
+	return reg
 }
 
-// WithoutExpired returns the memory without the keys that are too old.
-func (mem Registry) WithoutExpired(now time.Time) Registry {
-	itr := mem.keys.Iterator()
+// WithoutExpired returns the registry without the keys older than KeyRetention.
+func (reg Registry) WithoutExpired(now time.Time) Registry {
+	itr := reg.keys.Iterator()
 	for !itr.Done() {
 		hash, old, _ := itr.Next()
 		if now.Sub(old.at) > KeyRetention {
-			mem.keys = mem.keys.Delete(hash)
+			reg.keys = reg.keys.Delete(hash)
 		}
 	}
-	return mem
+	return reg
 }
 
-// Replicas returns the voters that remember a key: those that come first in the
+// Replicas returns the voters that record a key: the first ones in the
 // rendezvous order of its hash.
 func Replicas(voters []string, hash string) []string {
 	ids := slices.Clone(voters)
 	slices.SortFunc(ids, func(a, b string) int {
 		return cmp.Compare(member.Score(b, hash), member.Score(a, hash))
 	})
-	return ids[:min(len(ids), copies)]
+	return ids[:min(len(ids), replicaCount)]
 }
 
-// A Handover is the keys that a member has to learn.
+// A Handover is a set of keys to transfer to a member.
 type Handover struct {
 	To   string
 	Keys []Key
 }
 
-// Handovers returns what the members must learn that came to be the homes of keys
-// by a change of the voters, sorted by member and hash.
-func (mem Registry) Handovers(now time.Time, self string, old, next []string) []Handover {
-	byHome := map[string][]Key{}
-	itr := mem.keys.Iterator()
+// Handovers returns the keys to transfer to the members that became replicas of
+// them by a change of the voters, sorted by member and hash.
+func (reg Registry) Handovers(now time.Time, self string, old, next []string) []Handover {
+	byReplica := map[string][]Key{}
+	itr := reg.keys.Iterator()
 	for !itr.Done() {
 		hash, one, _ := itr.Next()
 		age := now.Sub(one.at)
 		if age > KeyRetention {
 			continue
 		}
-		was := Replicas(old, hash)
-		for _, home := range Replicas(next, hash) {
-			if home != self && !slices.Contains(was, home) {
-				byHome[home] = append(byHome[home], Key{Hash: hash, Owner: one.owner, Age: age})
+		before := Replicas(old, hash)
+		for _, replica := range Replicas(next, hash) {
+			if replica != self && !slices.Contains(before, replica) {
+				byReplica[replica] = append(byReplica[replica], Key{Hash: hash, Owner: one.owner, Age: age})
 			}
 		}
 	}
 	var hds []Handover
-	for home, keys := range byHome {
+	for replica, keys := range byReplica {
 		slices.SortFunc(keys, func(a, b Key) int { return cmp.Compare(a.Hash, b.Hash) })
-		hds = append(hds, Handover{To: home, Keys: keys})
+		hds = append(hds, Handover{To: replica, Keys: keys})
 	}
 	slices.SortFunc(hds, func(a, b Handover) int { return cmp.Compare(a.To, b.To) })
 	return hds
