--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -1,41 +1,41 @@
-// Package retry bounds retries to a fraction of the traffic, so that a failing
-// upstream is not buried under repeated requests.
+// Package retry limits retries to a fraction of the traffic, so that a failing
+// upstream is not overloaded by repeated requests.
 package retry
 
-// The budget in tokens. A retry costs one whole token.
+// Bounds of the budget, in thousandths of a token. A retry costs one token.
 const (
-	// earnPerStart is what each first attempt adds, in thousandths.
-	earnPerStart = 80
-	// costOfRetry is what each retry takes, in thousandths.
-	costOfRetry = 1000
-	// maxTokens bounds the burst of retries, in thousandths.
-	maxTokens = 10_000
-	// firstTokens lets a pool without traffic retry a little, in thousandths.
-	firstTokens = 2_000
+	// startMilliTokens is added by each first attempt.
+	startMilliTokens = 80
+	// retryMilliTokens is the cost of a retry.
+	retryMilliTokens = 1000
+	// maxMilliTokens bounds the burst of retries.
+	maxMilliTokens = 10_000
+	// initialMilliTokens allows a few retries in a pool without traffic.
+	initialMilliTokens = 2_000
 )
 
-// Budget is a token bucket that is filled by first attempts. It is immutable.
+// Budget is a token bucket that first attempts refill. It is immutable.
 type Budget struct {
-	// tokens is counted in thousandths, from 0 to maxTokens.
-	tokens int
+	// milliTokens ranges from 0 to maxMilliTokens.
+	milliTokens int
 }
 
-// NewBudget returns the budget of a pool that has seen no traffic.
+// NewBudget returns the budget of a pool without traffic.
 func NewBudget() Budget {
-	return Budget{tokens: firstTokens}
+	return Budget{milliTokens: initialMilliTokens}
 }
 
 // WithStart returns the budget after a first attempt.
 func (bud Budget) WithStart() Budget {
-	bud.tokens = min(maxTokens, bud.tokens+earnPerStart)
+	bud.milliTokens = min(maxMilliTokens, bud.milliTokens+startMilliTokens)
 	return bud
 }
 
-// WithRetry returns the budget after a retry, and whether it allows one.
+// WithRetry returns the budget after a retry, and whether the retry is allowed.
 func (bud Budget) WithRetry() (next Budget, ok bool) {
-	if bud.tokens < costOfRetry {
+	if bud.milliTokens < retryMilliTokens {
 		return bud, false
 	}
-	bud.tokens -= costOfRetry
+	bud.milliTokens -= retryMilliTokens
 	return bud, true
 }
