--- a/internal/core/store/store.go
+++ b/internal/core/store/store.go
@@ -1,7 +1,7 @@
-// Package store defines the calls that the core makes to the platform's
-// key-value store, as data, and their results.
+// Package store defines the operations on the platform's key-value store, and
+// their results, as data.
 //
-// It assumes a store with revisions, compare-and-swap and leases, such as etcd
+// It requires a store with revisions, compare-and-swap and leases, such as etcd
 // version 3. Keys are relative to the deployment's prefix.
 package store
 
@@ -19,19 +19,19 @@
 	prefixTaskLogs = "tasks/"
 )
 
-// MemberKey is where a member's lease is seen.
+// MemberKey returns the key that a member holds under its lease.
 func MemberKey(id string) string { return PrefixMembers + id }
 
-// FenceKey is where the owner of a member's task log is named.
+// FenceKey returns the key that names the owner of a member's task log.
 func FenceKey(id string) string { return PrefixFences + id }
 
-// LogPrefix is where the segments of a member's task log stand.
+// LogPrefix returns the prefix of the segments of a member's task log.
 func LogPrefix(id string) string { return prefixTaskLogs + id + "/" }
 
-// LogKey is where one segment stands. Keys sort in the order of segments.
+// LogKey returns the key of one segment. Keys sort in the order of segments.
 func LogKey(id string, seq int64) string { return fmt.Sprintf("%s%012d", LogPrefix(id), seq) }
 
-// An Op is one call. The closed set is Get, List, Write, LeaseGrant,
+// An Op is one operation. The closed set is Get, List, Write, LeaseGrant,
 // LeaseRefresh and LeaseRevoke.
 type Op interface{ isOp() }
 
@@ -44,22 +44,22 @@
 	KeysOnly bool
 }
 
-// Write puts and deletes keys in one step if all the conditions hold.
+// Write puts and deletes keys atomically if all the conditions hold.
 type Write struct {
 	Conditions []Condition
 	Puts       []Put
-	// Deletes are keys; DeletePrefixes are prefixes.
+	// Deletes lists keys; DeletePrefixes lists prefixes.
 	Deletes        []string
 	DeletePrefixes []string
-	// DeleteRanges are half-open ranges of keys.
+	// DeleteRanges lists half-open ranges of keys.
 	DeleteRanges []Range
 }
 
 // Range is a half-open range of keys.
 type Range struct{ From, To string }
 
-// Condition holds while a key's last change has a given revision of the store.
-// Zero means that the key is absent.
+// Condition holds if the key was last modified at the given revision of the
+// store. Zero requires that the key is absent.
 type Condition struct {
 	Key         string
 	ModRevision int64
@@ -69,14 +69,14 @@
 type Put struct {
 	Key   string
 	Value []byte
-	// Lease is 0 for a key that stays.
+	// Lease is 0 for a key without a lease.
 	Lease int64
 }
 
-// LeaseGrant asks for a lease.
+// LeaseGrant creates a lease.
 type LeaseGrant struct{ TTL time.Duration }
 
-// LeaseRefresh keeps a lease alive.
+// LeaseRefresh renews a lease.
 type LeaseRefresh struct{ Lease int64 }
 
 // LeaseRevoke ends a lease and deletes its keys.
@@ -89,37 +89,37 @@
 func (LeaseRefresh) isOp() {}
 func (LeaseRevoke) isOp()  {}
 
-// A Result is the answer to an Op. The closed set is Values, Written, Leased
+// A Result is the result of an Op. The closed set is Values, Written, Leased
 // and Failed.
 type Result interface{ isResult() }
 
-// KeyValue is one key with its value.
+// KeyValue is one key with its value and the revision of its last change.
 type KeyValue struct {
 	Key         string
 	Value       []byte
 	ModRevision int64
 }
 
-// Values answers Get and List.
+// Values is the result of Get and List.
 type Values struct{ Values []KeyValue }
 
-// Written answers Write. Succeeded is false when a condition did not hold;
-// then nothing was changed.
+// Written is the result of Write. Succeeded is false when a condition did not
+// hold; then nothing was changed.
 type Written struct {
 	Succeeded bool
-	// Revision is that of the store after the write.
+	// Revision is the store's revision after the write.
 	Revision int64
 }
 
-// Leased answers the calls on leases. A TTL of zero means that the lease is
-// gone.
+// Leased is the result of the operations on leases. A TTL of zero means that
+// the lease has ended.
 type Leased struct {
 	Lease int64
 	TTL   time.Duration
 }
 
-// Failed means that no answer came. A Write may have taken effect all the same
-// unless Refused is set.
+// Failed means that the operation returned no result. A Write may still have
+// taken effect unless Refused is set.
 type Failed struct {
 	Reason  string
 	Refused bool
