--- a/internal/core/task/doc.go
+++ b/internal/core/task/doc.go
@@ -1,8 +1,8 @@
-// Package task keeps the records of tasks: what was submitted, each attempt,
-// and each result.
+// Package task keeps the records of tasks: the submission, each attempt and
+// each result. The VM in a record is the machine of the worker that received
+// the attempt.
 //
-// An entry appends records to a log of segments in the store, a group of them
-// at a time, and owns its log through a fence key. Another entry that adopts
-// the log of a departed one replaces the fence first, so that a late write of
-// the former owner fails.
+// An entry appends batches of records to a log of segments in the store and
+// owns its log through a fence key. An entry that adopts the log of a departed
+// one replaces the fence first, so that a late write of the former owner fails.
 package task
--- a/internal/core/task/log.go
+++ b/internal/core/task/log.go
@@ -10,83 +10,86 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// Bounds of the log.
+// Limits of the log.
 const (
-	// MaxSegmentBytes bounds the records of one write, far below the megabyte
-	// that the store holds in a value.
+	// MaxSegmentBytes bounds the records of one write, well below the store's
+	// limit of one megabyte for a value.
 	MaxSegmentBytes = 256 << 10
-	// CompactionThreshold is the number of segments after which the log is rewritten.
+	// CompactionThreshold is the number of segments above which the log is
+	// rewritten.
 	CompactionThreshold = 64
-	// ResultRetention is how long a finished task can be asked for.
+	// ResultRetention is how long the result of a finished task is kept.
 	ResultRetention = time.Hour
 )
 
 // Log is an entry's record of the tasks that it owns. It is immutable.
 //
-// A record is first pending, then part of the one write in flight, then kept.
-// Only what is kept may be acted upon.
+// A record is first pending, then part of the single write in flight, then
+// stored. Only stored records may be acted upon.
 type Log struct {
-	kept *immutable.SortedMap[string, Record]
+	stored *immutable.SortedMap[string, Record]
 	// pending is in the order of arrival.
 	pending []Record
-	// flight is empty when no write is under way.
-	flight []Record
-	// Seq numbers the segment of the next write, or of the one in flight.
+	// inFlight is empty when no write is in progress.
+	inFlight []Record
+	// Seq is the sequence number of the segment of the next write, or of the
+	// one in flight.
 	Seq int64
-	// Oldest numbers the first segment that the store still has.
+	// Oldest is the sequence number of the first segment that is still in the
+	// store.
 	Oldest int64
-	// FlushedAt is when the last write was sent.
+	// FlushedAt is the time at which the last write was sent.
 	FlushedAt time.Time
 }
 
-// NewLog returns the log of an entry that owns no task.
+// NewLog returns the log of an entry that owns no tasks.
 func NewLog() Log {
-	return Log{kept: immutable.NewSortedMap[string, Record](nil)}
+	return Log{stored: immutable.NewSortedMap[string, Record](nil)}
 }
 
-// Stored returns a record that the store has.
+// Stored returns the stored record of a task.
 func (log Log) Stored(id string) (rec Record, ok bool) {
-	return log.kept.Get(id)
+	return log.stored.Get(id)
 }
 
-// StoredCount returns the number of tasks of which the store has a record.
-func (log Log) StoredCount() int { return log.kept.Len() }
+// StoredCount returns the number of tasks with a stored record.
+func (log Log) StoredCount() int { return log.stored.Len() }
 
-// Latest returns the newest record of a task, kept or not.
+// Latest returns the newest record of a task, stored or not.
 func (log Log) Latest(id string) (rec Record, ok bool) {
-	for _, recs := range [][]Record{log.pending, log.flight} {
+	for _, recs := range [][]Record{log.pending, log.inFlight} {
 		for _, rec := range slices.Backward(recs) {
 			if rec.ID == id {
 				return rec, true
 			}
 		}
 	}
-	return log.kept.Get(id)
+	return log.stored.Get(id)
 }
 
-// InFlight returns the records of the write under way.
-func (log Log) InFlight() []Record { return log.flight }
+// InFlight returns the records of the write in progress.
+func (log Log) InFlight() []Record { return log.inFlight }
 
 // PendingCount returns the number of records that wait for a write.
 func (log Log) PendingCount() int { return len(log.pending) }
 
-// WithPending returns the log with a record waiting for the next write.
+// WithPending returns the log with a record added to the next write.
 func (log Log) WithPending(rec Record) Log {
 	log.pending = append(slices.Clip(log.pending), rec)
 	return log
 }
 
-// WithoutPending returns the log without the records of a task that wait for
-// the next write. It reports whether there were any.
+// WithoutPending returns the log without the pending records of a task, and
+// whether there were any.
 func (log Log) WithoutPending(id string) (next Log, removed bool) {
-	kept := slices.DeleteFunc(slices.Clone(log.pending), func(rec Record) bool { return rec.ID == id })
-	removed = len(kept) < len(log.pending)
-	log.pending = kept
+	remaining := slices.DeleteFunc(slices.Clone(log.pending), func(rec Record) bool { return rec.ID == id })
+	removed = len(remaining) < len(log.pending)
+	log.pending = remaining
 	return log, removed
 }
 
-// WithInFlight returns the log with as many pending records in flight as one
-// segment holds.
+// WithInFlight returns the log with as many pending records in flight as fit
+// into one segment.
 func (log Log) WithInFlight(now time.Time) Log {
 	size, count := 0, 0
 	for _, rec := range log.pending {
@@ -96,43 +99,44 @@
 		}
 		count++
 	}
-	log.flight = slices.Clone(log.pending[:count])
+	log.inFlight = slices.Clone(log.pending[:count])
 	log.pending = slices.Clone(log.pending[count:])
 	log.FlushedAt = now
 	return log
 }
 
-// recordOverhead is a generous size of a record without its payload, in bytes.
+// recordOverhead is an upper estimate of the size of a record without its
+// payload and result, in bytes.
 const recordOverhead = 512
 
-// WithWritten returns the log after the write in flight took effect.
+// WithWritten returns the log after the write in flight succeeded.
 func (log Log) WithWritten() Log {
-	for _, rec := range log.flight {
-		log.kept = log.kept.Set(rec.ID, rec)
+	for _, rec := range log.inFlight {
+		log.stored = log.stored.Set(rec.ID, rec)
 	}
-	log.flight = nil
+	log.inFlight = nil
 	log.Seq++
 	return log
 }
 
-// NeedsCompaction reports whether the log has so many segments that it should
-// be rewritten.
+// NeedsCompaction reports whether the log has more segments than
+// CompactionThreshold.
 func (log Log) NeedsCompaction() bool {
 	return log.Seq-log.Oldest > CompactionThreshold
 }
 
-// WithCompaction returns the log with a rewrite of all that is kept in flight.
-// Finished tasks that are older than KeepResults are dropped. It changes
-// nothing when what is kept does not fit into one segment.
+// WithCompaction returns the log with a rewrite of all stored records in
+// flight. It drops tasks that finished longer than ResultRetention ago. It
+// changes nothing when the records do not fit into one segment.
 func (log Log) WithCompaction(now time.Time) (next Log, ok bool) {
 	var recs []Record
 	size := 0
-	kept := log.kept
-	itr := log.kept.Iterator()
+	stored := log.stored
+	itr := log.stored.Iterator()
 	for !itr.Done() {
 		id, rec, _ := itr.Next()
 		if rec.State.IsFinal() && now.Sub(rec.EndedAt) > ResultRetention {
-			kept = kept.Delete(id)
+			stored = stored.Delete(id)
 			continue
 		}
 		size += len(rec.Payload) + len(rec.Result) + recordOverhead
@@ -141,26 +145,26 @@
 	if size > MaxSegmentBytes {
 		return log, false
 	}
-	log.kept = kept
-	log.flight = recs
+	log.stored = stored
+	log.inFlight = recs
 	log.FlushedAt = now
 	return log, true
 }
 
-// WithOldest returns the log after older segments were deleted.
+// WithOldest returns the log after the segments before seq were deleted.
 func (log Log) WithOldest(seq int64) Log {
 	log.Oldest = seq
 	return log
 }
 
-// EncodeSegment writes records as one value of the store. The records of one
-// task stand in their order.
+// EncodeSegment encodes records as one value of the store. It keeps their
+// order.
 func EncodeSegment(recs []Record) (data []byte, err error) {
 	return json.Marshal(recs)
 }
 
-// Replay reads the segments of a log, in their order, and returns the last
-// record of each task, by ID.
+// Replay decodes the segments of a log in order and returns the last record of
+// each task, sorted by ID.
 func Replay(segments [][]byte) (recs []Record, err error) {
 	latest := map[string]Record{}
 	for i, segment := range segments {
@@ -182,13 +186,13 @@
 // WithAdopted returns the log with the records of another member's log in
 // flight.
 func (log Log) WithAdopted(recs []Record, now time.Time) Log {
-	log.flight = recs
+	log.inFlight = recs
 	log.FlushedAt = now
 	return log
 }
 
-// WithoutInFlight returns the log after the records in flight were given up.
+// WithoutInFlight returns the log after the write in flight was abandoned.
 func (log Log) WithoutInFlight() Log {
-	log.flight = nil
+	log.inFlight = nil
 	return log
 }
--- a/internal/core/task/record.go
+++ b/internal/core/task/record.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// State is how far a task has come.
+// State is the stage of processing that a task has reached.
 type State string
 
 // The states of a task.
@@ -10,21 +10,21 @@
 	StateWaiting State = "waiting"
 	StateRunning State = "running"
 	StateDone    State = "done"
-	// StateParked tasks can't be run; the reason says why.
+	// StateParked tasks can't run; Reason holds the cause.
 	StateParked State = "parked"
-	// StateUnknown tasks may have run, and may not be run again.
+	// StateUnknown tasks may have run and must not run again.
 	StateUnknown State = "unknown"
 	// StateCancelled tasks were cancelled before they ended.
 	StateCancelled State = "cancelled"
 )
 
-// IsFinal reports whether a task in the state will not change again.
+// IsFinal reports whether a task in the state no longer changes.
 func (sta State) IsFinal() bool {
 	return sta == StateDone || sta == StateParked || sta == StateUnknown || sta == StateCancelled
 }
 
-// Record is the whole of what is kept of a task. A later record of the same
-// task replaces an earlier one.
+// Record is the complete stored state of a task. A later record replaces an
+// earlier one.
 type Record struct {
 	ID    string `json:"id"`
 	Team  string `json:"team"`
@@ -32,9 +32,9 @@
 	// Payload is dropped once the state is final.
 	Payload []byte `json:"payload,omitempty"`
 	State   State  `json:"state"`
-	// Attempt counts the starts and only goes up.
+	// Attempt counts the starts and never decreases.
 	Attempt int `json:"attempt,omitempty"`
-	// VM is where the last recorded attempt was sent.
+	// VM is the VM of the last recorded attempt.
 	VM string `json:"vm,omitempty"`
 	// Tried lists the VMs on which the task failed.
 	Tried    []string  `json:"tried,omitempty"`
@@ -46,7 +46,7 @@
 	EndedAt time.Time `json:"ended_at,omitempty"`
 }
 
-// WithState returns the record in another state.
+// WithState returns the record in the given state.
 func (rec Record) WithState(sta State) Record {
 	rec.State = sta
 	return rec
@@ -62,7 +62,7 @@
 	return rec
 }
 
-// Status is what a submitter may ask of a task.
+// Status is the part of a task's state that its submitter may query.
 type Status struct {
 	ID      string `json:"id"`
 	Team    string `json:"team"`
@@ -73,7 +73,7 @@
 	Reason  string `json:"reason,omitempty"`
 }
 
-// Status returns the part of the record that a submitter may see.
+// Status returns the part of the record that its submitter may query.
 func (rec Record) Status() Status {
 	return Status{
 		ID: rec.ID, Team: rec.Team, Queue: rec.Queue, State: rec.State,
