--- a/pkg/table/allotment.go
+++ b/pkg/table/allotment.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// reallot returns the allotments after the teams' limits changed. The permits
-// of each team sum to its limit afterwards. Members keep what they have; the
-// difference is spread evenly, so that a raised limit can be used at once and
-// a lowered one puts members into debt until permits come back.
-func reallot(old []Allotment, teams []Team, voters []string) []Allotment {
+// reallocate returns the allotments after the teams' limits changed. The
+// permits of each team then sum to its limit. Members keep their permits and
+// the difference is split evenly, so that a raised limit is available
+// immediately and a lowered one puts members into debt until permits are
+// returned.
+func reallocate(old []Allotment, teams []Team, voters []string) []Allotment {
 	held := make(map[teamMember]int, len(old))
 	sums := map[string]int{}
 	for _, alm := range old {
@@ -18,7 +19,7 @@
 	}
 	next := make([]Allotment, 0, len(teams)*len(voters))
 	for _, tea := range teams {
-		shares := spread(tea.Limit-sums[tea.Name], len(voters))
+		shares := splitEvenly(tea.Limit-sums[tea.Name], len(voters))
 		for i, vtr := range voters {
 			permits := held[teamMember{tea.Name, vtr}] + shares[i]
 			next = append(next, Allotment{Team: tea.Name, Member: vtr, Permits: permits})
@@ -28,9 +29,9 @@
 	return next
 }
 
-// spread divides a total, which may be negative, into n parts that differ by
-// at most one.
-func spread(total, n int) []int {
+// splitEvenly splits a total, which may be negative, into n parts that differ
+// by at most one.
+func splitEvenly(total, n int) []int {
 	parts := make([]int, n)
 	if n == 0 {
 		return parts
@@ -45,10 +46,10 @@
 	return parts
 }
 
-// settle returns the allotments of the remaining voters after some left. What
-// the departed held goes first to those that run more than their permits allow,
-// and the rest is spread evenly.
-func settle(cfg *Config, settlements []Settlement) []Allotment {
+// applySettlements returns the allotments of the remaining voters after some
+// were removed. The permits of the removed voters go first to members in debt,
+// and the remainder is split evenly.
+func applySettlements(cfg *Config, settlements []Settlement) []Allotment {
 	nets, debts := map[teamMember]int{}, map[teamMember]int{}
 	for _, stl := range settlements {
 		addPermits(nets, stl.Member, stl.Net)
@@ -67,7 +68,7 @@
 			permits[i] += paid
 			left -= paid
 		}
-		for i, part := range spread(left, len(cfg.Voters)) {
+		for i, part := range splitEvenly(left, len(cfg.Voters)) {
 			next = append(next, Allotment{Team: tea.Name, Member: cfg.Voters[i].ID, Permits: permits[i] + part})
 		}
 	}
--- a/pkg/table/change.go
+++ b/pkg/table/change.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// A Change is one step from a configuration to the next. The closed set is
-// TablesReplaced, KeyGranted, KeyWithdrawn, AZSet, VMsAssigned, VoterJoined
-// and VotersRemoved.
+// A Change transforms a configuration into the next one. The closed set is
+// TablesReplaced, KeyGranted, KeyWithdrawn, AZSet, VMsAssigned, VoterJoined and
+// VotersRemoved.
 type Change interface {
 	isChange()
 }
 
-// TablesReplaced puts new tables in place of both.
+// TablesReplaced replaces both tables.
 type TablesReplaced struct {
 	Tables Tables `json:"tables"`
 }
@@ -25,18 +25,18 @@
 	Key Key `json:"key"`
 }
 
-// KeyWithdrawn takes the key with a name away.
+// KeyWithdrawn revokes the key with the given name.
 type KeyWithdrawn struct {
 	Name string `json:"name"`
 }
 
-// AZSet takes an availability zone out or back in.
+// AZSet takes an availability zone out of service or puts it back.
 type AZSet struct {
 	AZ  string `json:"az"`
 	Out bool   `json:"out"`
 }
 
-// VMsAssigned puts VMs into pools. An empty pool takes the VM out of the map.
+// VMsAssigned assigns VMs to pools. An empty pool removes the VM's assignment.
 type VMsAssigned struct {
 	VMs []Assignment `json:"vms"`
 }
@@ -46,23 +46,23 @@
 	Voter Voter `json:"voter"`
 }
 
-// VotersRemoved removes voters that certainly stopped. The transfers between
-// them and the remaining members are folded into the allotments of the latter,
-// each of whom must have settled.
+// VotersRemoved removes voters that are guaranteed to have terminated. The
+// transfers between them and the remaining members are merged into the
+// allotments of the latter, each of which must have settled.
 type VotersRemoved struct {
 	IDs         []string     `json:"ids"`
 	Settlements []Settlement `json:"settlements"`
 }
 
-// Settlement is what a remaining member says of its transfers with members that
-// are to be removed. It is final: the member has ended those transfers.
+// Settlement is a remaining member's account of its transfers with members that
+// are about to be removed. It is final: the member has ended those transfers.
 type Settlement struct {
 	Member string `json:"member"`
-	// Net is what the member received from the departed less what it sent to
-	// them, by team.
+	// Net is the number of permits received from the departed members less
+	// those sent to them, by team.
 	Net []TeamPermits `json:"net,omitempty"`
-	// Debts is how much more of a team's work the member runs than its permits
-	// allow, because it adopted running tasks.
+	// Debts is the number of pieces of a team's work that the member runs
+	// beyond its permits, because it adopted running tasks.
 	Debts []TeamPermits `json:"debts,omitempty"`
 }
 
@@ -80,8 +80,8 @@
 func (VoterJoined) isChange()    {}
 func (VotersRemoved) isChange()  {}
 
-// An Edit is a Change on the wire: the revision that it leads to, its nonce,
-// and exactly one of the changes.
+// An Edit is the wire form of a Change: the resulting revision, its nonce, and
+// exactly one of the changes.
 type Edit struct {
 	Revision       int64           `json:"revision"`
 	Nonce          string          `json:"nonce"`
@@ -94,7 +94,7 @@
 	VotersRemoved  *VotersRemoved  `json:"voters_removed,omitempty"`
 }
 
-// NewEdit wraps a change.
+// NewEdit returns the wire form of a change.
 func NewEdit(revision int64, nonce string, change Change) Edit {
 	edi := Edit{Revision: revision, Nonce: nonce}
 	switch chg := change.(type) {
@@ -116,7 +116,7 @@
 	return edi
 }
 
-// Change returns the change inside, or an error if there is none.
+// Change returns the change of the edit, or an error if there is none.
 func (edi Edit) Change() (chg Change, err error) {
 	switch {
 	case edi.TablesReplaced != nil:
@@ -134,17 +134,18 @@
 	case edi.VotersRemoved != nil:
 		return *edi.VotersRemoved, nil
 	default:
-		return nil, errors.New("edit holds no change")
+		return nil, errors.New("edit contains no change")
 	}
 }
 
-// Apply returns the configuration after a change, one revision up. It refuses
-// a change that makes no sense, such as a key for an unknown team.
+// Apply returns the configuration after a change, with the revision incremented
+// by one. It returns an error if the change is invalid, such as a key for an
+// unknown team.
 func (cfg *Config) Apply(change Change, nonce string) (next *Config, err error) {
 	cop := *cfg
 	cop.Revision++
 	cop.Nonces = append(slices.Clone(cfg.Nonces), nonce)
-	cop.Nonces = cop.Nonces[max(0, len(cop.Nonces)-keptNonces):]
+	cop.Nonces = cop.Nonces[max(0, len(cop.Nonces)-maxNonces):]
 	switch chg := change.(type) {
 	case TablesReplaced:
 		err = cop.replaceTables(chg)
@@ -177,7 +178,7 @@
 	if cfg.Tables.AZsOut == nil {
 		cfg.Tables.AZsOut = out
 	}
-	cfg.Allotments = reallot(cfg.Allotments, cfg.Tables.Teams, cfg.VoterIDs())
+	cfg.Allotments = reallocate(cfg.Allotments, cfg.Tables.Teams, cfg.VoterIDs())
 	cfg.Keys = slices.DeleteFunc(slices.Clone(cfg.Keys), func(key Key) bool {
 		return !slices.ContainsFunc(cfg.Tables.Teams, func(tea Team) bool { return tea.Name == key.Team })
 	})
@@ -193,7 +194,7 @@
 	}
 	for _, old := range cfg.Keys {
 		if old.Name == key.Name || old.Hash == key.Hash {
-			return fmt.Errorf("a key named %q is there already", old.Name)
+			return fmt.Errorf("a key named %q already exists", old.Name)
 		}
 	}
 	cfg.Keys = append(slices.Clone(cfg.Keys), key)
@@ -216,7 +217,7 @@
 	}
 	out := slices.DeleteFunc(slices.Clone(cfg.Tables.AZsOut), func(az string) bool { return az == chg.AZ })
 	if chg.Out {
-		if !cfg.knowsAZ(chg.AZ) {
+		if !cfg.hasAZ(chg.AZ) {
 			return fmt.Errorf("no pool has VMs in availability zone %q", chg.AZ)
 		}
 		out = append(out, chg.AZ)
@@ -227,7 +228,7 @@
 	return nil
 }
 
-func (cfg *Config) knowsAZ(az string) bool {
+func (cfg *Config) hasAZ(az string) bool {
 	for _, poo := range cfg.Tables.Pools {
 		if _, ok := poo.VMs[az]; ok {
 			return true
@@ -260,12 +261,12 @@
 
 func (cfg *Config) joinVoter(vtr Voter) error {
 	if _, ok := cfg.ind.voters[vtr.ID]; ok {
-		return fmt.Errorf("member %q votes already", vtr.ID)
+		return fmt.Errorf("member %q is already a voter", vtr.ID)
 	}
 	cfg.Voters = append(slices.Clone(cfg.Voters), vtr)
 	slices.SortFunc(cfg.Voters, func(a, b Voter) int { return cmp.Compare(a.ID, b.ID) })
 	if len(cfg.Voters) == 1 {
-		cfg.Allotments = reallot(nil, cfg.Tables.Teams, cfg.VoterIDs())
+		cfg.Allotments = reallocate(nil, cfg.Tables.Teams, cfg.VoterIDs())
 	}
 	return nil
 }
@@ -276,19 +277,20 @@
 		return slices.Contains(chg.IDs, vtr.ID)
 	})
 	if len(cfg.Voters) != before-len(chg.IDs) {
-		return errors.New("a member to be removed does not vote")
+		return errors.New("a member to be removed is not a voter")
 	}
 	for _, vtr := range cfg.Voters {
 		settled := func(stl Settlement) bool { return stl.Member == vtr.ID }
 		if !slices.ContainsFunc(chg.Settlements, settled) {
-			return fmt.Errorf("member %q has not settled with the departed", vtr.ID)
+			return fmt.Errorf("member %q has not settled its transfers with the removed voters", vtr.ID)
 		}
 	}
-	cfg.Allotments = settle(cfg, chg.Settlements)
+	cfg.Allotments = applySettlements(cfg, chg.Settlements)
 	return nil
 }
 
-// LongestRequestDeadline returns the longest that any request may wait and run.
+// LongestRequestDeadline returns the longest deadline of any route for
+// requests.
 func (tbs Tables) LongestRequestDeadline() time.Duration {
 	longest := time.Duration(0)
 	for _, rou := range tbs.Routes {
--- a/pkg/table/config.go
+++ b/pkg/table/config.go
@@ -8,73 +8,75 @@
 	"strings"
 )
 
-// Config is all that the fleet runs by, at one revision. It is immutable: use
-// Apply to get the next one.
+// Config is the configuration of the fleet at one revision. It is immutable;
+// Apply returns the next one.
 type Config struct {
-	// Revision counts the accepted changes. It never goes down.
+	// Revision counts the accepted changes. It never decreases.
 	Revision int64 `json:"revision"`
-	// Nonces names the latest changes, the newest last, so that a writer whose
-	// answer was lost can tell whether its own write took effect.
+	// Nonces lists the nonces of the latest changes, the newest last. A writer
+	// that received no reply looks up its nonce to determine whether its write
+	// took effect.
 	Nonces []string `json:"nonces"`
 	Tables Tables   `json:"tables"`
 	// TablesRevision is the revision of the latest change to the tables; at
 	// most Revision.
 	TablesRevision int64 `json:"tables_revision"`
-	// Keys is sorted by hash; no hash is listed twice.
+	// Keys is sorted by hash, without duplicates.
 	Keys []Key `json:"keys"`
-	// VMs is sorted by VM; each VM stands in it at most once, and so is in at
+	// VMs is sorted by VM. Each VM is listed at most once and so belongs to at
 	// most one pool.
 	VMs []Assignment `json:"vms"`
 	// Voters is sorted by ID.
 	Voters []Voter `json:"voters"`
-	// Allotments is sorted by team and member. The permits of a team sum to
-	// its limit.
+	// Allotments is sorted by team and member. The permits of a team sum to its
+	// limit.
 	Allotments []Allotment `json:"allotments"`
 
 	ind *index
 }
 
-// Key is a granted key. The key itself is never kept.
+// Key is a granted API key. Only the hash of the key itself is stored.
 type Key struct {
 	// Hash is the SHA-256 of the key, in hexadecimal.
 	Hash string `json:"hash"`
-	// Name is what operators call the key by; unique.
+	// Name is the operators' name of the key; unique.
 	Name string `json:"name"`
 	Team string `json:"team"`
 }
 
-// Assignment puts a VM into a pool.
+// Assignment assigns a VM to a pool.
 type Assignment struct {
 	VM   string `json:"vm"`
 	Pool string `json:"pool"`
 }
 
-// Voter is an entry whose hearing counts for the freshness rule.
+// Voter is an entry that counts towards the majorities of the freshness rule
+// and of accepted changes.
 type Voter struct {
 	// ID is unique to one incarnation of one process.
 	ID      string `json:"id"`
 	Address string `json:"address"`
 	AZ      string `json:"az"`
-	// VM is the platform's name of the voter's own VM, or empty.
+	// VM is the platform's ID of the voter's own VM, or empty.
 	VM string `json:"vm,omitempty"`
 }
 
-// Allotment is the number of a team's permits that a member begins with,
-// before any transfer. It may be negative after a limit was lowered or a
-// departed member's transfers were settled; the member is then in debt.
+// Allotment is the number of a team's permits that a member starts with, before
+// any transfer. It may be negative after a limit was lowered or a departed
+// member's transfers were settled; the member is then in debt.
 type Allotment struct {
 	Team    string `json:"team"`
 	Member  string `json:"member"`
 	Permits int    `json:"permits"`
 }
 
-// keptNonces is the number of changes whose nonces a configuration holds.
-const keptNonces = 64
+// maxNonces is the number of changes whose nonces a configuration keeps.
+const maxNonces = 64
 
 type index struct {
 	teams      map[string]Team
 	routes     map[string]Route
-	requests   []Route // by falling length of path
+	requests   []Route // by descending length of path
 	pools      map[string]Pool
 	keys       map[string]Key
 	vms        map[string]string
@@ -89,7 +91,7 @@
 	member string
 }
 
-// Decode reads a configuration as the store keeps it.
+// Decode decodes a configuration from its stored form.
 func Decode(data []byte) (cfg *Config, err error) {
 	defer func() {
 		if err != nil {
@@ -103,7 +105,7 @@
 	return cfg.Indexed(), nil
 }
 
-// Encode writes the configuration as the store keeps it.
+// Encode returns the stored form of the configuration.
 func (cfg *Config) Encode() (data []byte, err error) {
 	return json.Marshal(cfg)
 }
@@ -113,8 +115,8 @@
 	return (&Config{}).Indexed()
 }
 
-// Indexed returns the configuration with its look-up tables built. Decode and
-// Apply return indexed configurations; only one built by hand needs this.
+// Indexed returns the configuration with its lookup indexes built. Decode and
+// Apply return indexed configurations; only a literal needs a call to Indexed.
 func (cfg *Config) Indexed() *Config {
 	next := *cfg
 	next.ind = buildIndex(cfg)
@@ -179,8 +181,8 @@
 	return rou, ok
 }
 
-// RouteFor returns the request route with the longest path that a request's
-// path begins with.
+// RouteFor returns the request route with the longest path that is a prefix of
+// the given path.
 func (cfg *Config) RouteFor(path string) (rou Route, ok bool) {
 	for _, rou := range cfg.ind.requests {
 		if strings.HasPrefix(path, rou.Path) {
@@ -202,18 +204,18 @@
 	return key, ok
 }
 
-// PoolOf returns the pool of a VM, or "" if it is in none.
+// PoolOf returns the pool of a VM, or "" if the VM belongs to none.
 func (cfg *Config) PoolOf(vm string) string {
 	return cfg.ind.vms[vm]
 }
 
-// VMsOf returns the VMs of a pool, sorted. The caller must not change the
+// VMsOf returns the VMs of a pool, sorted. The caller must not modify the
 // slice.
 func (cfg *Config) VMsOf(pool string) []string {
 	return cfg.ind.poolVMs[pool]
 }
 
-// IsAZOut reports whether operators took an availability zone out.
+// IsAZOut reports whether operators took an availability zone out of service.
 func (cfg *Config) IsAZOut(az string) bool {
 	return cfg.ind.azsOut[az]
 }
@@ -224,12 +226,12 @@
 	return vtr, ok
 }
 
-// Allotment returns the permits of a team that a member begins with.
+// Allotment returns the number of a team's permits that a member starts with.
 func (cfg *Config) Allotment(team, member string) int {
 	return cfg.ind.allotments[teamMember{team, member}]
 }
 
-// HasNonce reports whether one of the latest changes bears a nonce.
+// HasNonce reports whether one of the latest changes has the given nonce.
 func (cfg *Config) HasNonce(nonce string) bool {
 	return slices.Contains(cfg.Nonces, nonce)
 }
--- a/pkg/table/config_test.go
+++ b/pkg/table/config_test.go
@@ -22,7 +22,7 @@
 	os.Exit(m.Run())
 }
 
-func apply(t require, cfg *table.Config, chg table.Change) *table.Config {
+func apply(t fataler, cfg *table.Config, chg table.Change) *table.Config {
 	next, err := cfg.Apply(chg, "nonce")
 	if err != nil {
 		t.Fatalf("apply %T: %v", chg, err)
@@ -30,8 +30,8 @@
 	return next
 }
 
-// require is what both kinds of tests have in common.
-type require interface {
+// fataler is the common part of testing.T and rapid.T.
+type fataler interface {
 	Fatalf(format string, args ...any)
 }
 
@@ -43,7 +43,7 @@
 	return tbs
 }
 
-func sum(cfg *table.Config, team string) int {
+func sumPermits(cfg *table.Config, team string) int {
 	total := 0
 	for _, alm := range cfg.Allotments {
 		if alm.Team == team {
@@ -53,8 +53,8 @@
 	return total
 }
 
-// TestAllotmentsAlwaysSumToTheLimit draws limits that go up and down while
-// voters join and leave with random transfers behind them.
+// TestAllotmentsAlwaysSumToTheLimit raises and lowers limits while voters join
+// and leave with random transfers to settle.
 func TestAllotmentsAlwaysSumToTheLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		cfg := apply(rt, table.Empty(), table.VoterJoined{Voter: table.Voter{ID: "m0"}})
@@ -67,18 +67,18 @@
 			case 1:
 				cfg = apply(rt, cfg, table.VoterJoined{Voter: table.Voter{ID: fmt.Sprintf("j%d", step)}})
 			case 2:
-				cfg = removeOne(rt, cfg)
+				cfg = removeRandomVoter(rt, cfg)
 			}
 			for _, tea := range cfg.Tables.Teams {
-				if got := sum(cfg, tea.Name); len(cfg.Voters) > 0 && got != tea.Limit {
-					rt.Fatalf("team %s: permits sum to %d, not %d", tea.Name, got, tea.Limit)
+				if got := sumPermits(cfg, tea.Name); len(cfg.Voters) > 0 && got != tea.Limit {
+					rt.Fatalf("team %s: permits sum to %d, want %d", tea.Name, got, tea.Limit)
 				}
 			}
 		}
 	})
 }
 
-func removeOne(rt *rapid.T, cfg *table.Config) *table.Config {
+func removeRandomVoter(rt *rapid.T, cfg *table.Config) *table.Config {
 	if len(cfg.Voters) < 2 {
 		return cfg
 	}
@@ -98,7 +98,7 @@
 	return apply(rt, cfg, chg)
 }
 
-func TestRemovalNeedsEverySettlement(t *testing.T) {
+func TestRemovalRequiresEverySettlement(t *testing.T) {
 	cfg := table.Empty()
 	for _, id := range []string{"a", "b", "c"} {
 		cfg = apply(t, cfg, table.VoterJoined{Voter: table.Voter{ID: id}})
@@ -120,7 +120,7 @@
 	assert.ErrorContains(t, err, "no pool is named")
 }
 
-func TestChangeThatMakesNoSenseIsRefused(t *testing.T) {
+func TestInvalidChangeIsRefused(t *testing.T) {
 	cfg := apply(t, table.Empty(), table.TablesReplaced{Tables: teams(1)})
 	for _, chg := range []table.Change{
 		table.KeyGranted{Key: table.Key{Hash: "h", Name: "n", Team: "strangers"}},
@@ -135,8 +135,8 @@
 	assert.Equal(t, cfg.Revision, int64(1))
 }
 
-// TestEditKeepsItsChange sends each kind of change through its wire form.
-func TestEditKeepsItsChange(t *testing.T) {
+// TestEditRoundTrip encodes and decodes each kind of change.
+func TestEditRoundTrip(t *testing.T) {
 	for _, chg := range []table.Change{
 		table.TablesReplaced{Tables: teams(3)},
 		table.KeyGranted{Key: table.Key{Hash: "h", Name: "n", Team: "t0"}},
--- a/pkg/table/diff.go
+++ b/pkg/table/diff.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// Action says what happens to a named part of the tables.
+// Action is the kind of a difference.
 type Action string
 
 // The actions.
@@ -17,18 +17,18 @@
 	ActionChange Action = "change"
 )
 
-// Difference is one named part that two versions of the tables do not share.
+// Difference is one named element in which two versions of the tables differ.
 type Difference struct {
 	Action Action `json:"action"`
-	// Part is the kind and name, as in "pool gate_check".
+	// Part is the kind and name of the element, such as "pool gate_check".
 	Part string `json:"part"`
 	Old  string `json:"old,omitempty"`
 	New  string `json:"new,omitempty"`
 }
 
-// Diff returns what turns the old tables into the new ones, in the order of
-// teams, routes, pools and availability zones, each by name. New tables that
-// do not speak of the availability zones taken out leave them as they are.
+// Diff returns the differences between the old and the new tables, in the order
+// of teams, routes, pools and availability zones, each by name. New tables
+// without a list of zones out of service leave the zones unchanged.
 func Diff(old, next Tables) []Difference {
 	var dfs []Difference
 	dfs = append(dfs, diffNamed("team", old.Teams, next.Teams, func(tea Team) string { return tea.Name })...)
@@ -58,11 +58,11 @@
 		dif := Difference{Part: noun + " " + key}
 		switch {
 		case !was:
-			dif.Action, dif.New = ActionAdd, text(after)
+			dif.Action, dif.New = ActionAdd, toJSON(after)
 		case !is:
-			dif.Action, dif.Old = ActionRemove, text(before)
+			dif.Action, dif.Old = ActionRemove, toJSON(before)
 		case !reflect.DeepEqual(before, after):
-			dif.Action, dif.Old, dif.New = ActionChange, text(before), text(after)
+			dif.Action, dif.Old, dif.New = ActionChange, toJSON(before), toJSON(after)
 		default:
 			continue
 		}
@@ -71,8 +71,9 @@
 	return dfs
 }
 
-// text writes a part as JSON, in which spans read as in the tables.
-func text(part any) string {
+// toJSON returns a part as JSON, in which spans have the same form as in the
+// tables.
+func toJSON(part any) string {
 	data, err := json.Marshal(part)
 	if err != nil {
 		return fmt.Sprint(part)
--- a/pkg/table/doc.go
+++ b/pkg/table/doc.go
@@ -1,7 +1,8 @@
-// Package table holds the operators' two tables, the table of routes and the
-// table of pools, and the configuration that the fleet runs by.
+// Package table defines the operators' two tables, the table of routes and the
+// table of pools, and the configuration of the fleet that contains them.
 //
-// A Config is an immutable value with a revision. It changes only by applying
-// a Change, and each Change raises the revision by one. What travels between
-// entries is the Change; what the store keeps is the Config.
+// A Config is an immutable value with a revision. It changes only by applying a
+// Change, and each Change increments the revision by one. Entries exchange
+// Changes; the store holds the Config. A VM here is a machine of the platform
+// that runs an executor, a worker or a voter.
 package table
--- a/pkg/table/tables.go
+++ b/pkg/table/tables.go
@@ -10,29 +10,32 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// MaxBodyLimit is the most that max_body_bytes may say.
+// MaxBodyLimit is the maximum of max_body_bytes, in bytes.
 const MaxBodyLimit = 4 << 20
 
-// MaxTaskPayload is the most that a task's payload may hold, so that a segment
-// of records stays far below the megabyte that the store holds in a value.
+// MaxTaskPayload is the maximum size of a task's payload in bytes. It keeps a
+// segment of records well below the store's limit of one megabyte for a value.
 const MaxTaskPayload = 64 << 10
 
-// DefaultMaxBody is the bound of a route that names none, in bytes.
+// DefaultMaxBody is the value of max_body_bytes for a route that sets none, in
+// bytes.
 const DefaultMaxBody = 64 << 10
 
-// minDeadline and maxDeadline bound how long any work may wait and run.
+// minDeadline and maxDeadline bound the deadline of a route.
 const (
 	minDeadline = time.Millisecond
 	maxDeadline = 24 * time.Hour
 )
 
-// Tables is what operators keep in version control.
+// Tables is the content of the two tables that operators keep in version
+// control.
 type Tables struct {
 	Teams  []Team  `json:"teams"`
 	Routes []Route `json:"routes"`
 	Pools  []Pool  `json:"pools"`
-	// AZsOut lists the availability zones that operators took out; nil in a
-	// file that does not speak of them, which leaves them as they are.
+	// AZsOut lists the availability zones that operators took out of service.
+	// It is nil when the file has no such list, which leaves the zones
+	// unchanged.
 	AZsOut []string `json:"azs_out,omitempty"`
 }
 
@@ -46,8 +49,8 @@
 	Pools  []Pool   `toml:"pool"`
 }
 
-// Parse reads both tables and checks them as a whole. The error, if any, is a
-// sorted list with the position of each fault.
+// Parse parses both tables and validates them together. The error, if any, is a
+// sorted list of diagnostics with their positions.
 func Parse(routesName string, routes []byte, poolsName string, pools []byte) (tbs Tables, err error) {
 	var rsf routesFile
 	var psf poolsFile
@@ -65,16 +68,16 @@
 	return tbs, dgs.AsError()
 }
 
-// ParsePools reads and checks a table of pools alone.
+// ParsePools parses and validates a table of pools alone.
 func ParsePools(name string, pools []byte) (tbs Tables, err error) {
 	return Parse("routes", nil, name, pools)
 }
 
-// Format writes both tables as TOML.
+// Format returns both tables as TOML.
 func (tbs Tables) Format() (routes, pools []byte, err error) {
 	defer func() {
 		if err != nil {
-			err = fmt.Errorf("write tables as TOML: %w", err)
+			err = fmt.Errorf("format tables as TOML: %w", err)
 		}
 	}()
 	routes, err = toml.Marshal(routesFile{Teams: tbs.Teams, Routes: tbs.Routes})
@@ -85,7 +88,7 @@
 	return routes, pools, err
 }
 
-// Validate checks tables that did not come from files, such as those of a
+// Validate checks tables that were not parsed from files, such as those of a
 // peer or of an operator's request.
 func (tbs Tables) Validate() error {
 	chk := checker{
@@ -177,7 +180,7 @@
 		at := fmt.Sprintf("route.%d", i)
 		checkName(chk.routes, at, "route", rou.Name, seen)
 		chk.checkRouteFields(at, rou, paths)
-		chk.checkRouteNames(at, rou, teams, pools)
+		chk.checkRouteReferences(at, rou, teams, pools)
 	}
 }
 
@@ -219,7 +222,7 @@
 	paths[rou.Path] = true
 }
 
-func (chk checker) checkRouteNames(at string, rou Route, teams map[string]bool, pools map[string]Pool) {
+func (chk checker) checkRouteReferences(at string, rou Route, teams map[string]bool, pools map[string]Pool) {
 	poo, ok := pools[rou.Pool]
 	switch {
 	case !ok:
--- a/pkg/table/tables_test.go
+++ b/pkg/table/tables_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// file returns the part of an archive with a name.
-func file(arc *txtar.Archive, name string) []byte {
+// archiveFile returns the file with the given name from an archive.
+func archiveFile(arc *txtar.Archive, name string) []byte {
 	for _, fil := range arc.Files {
 		if fil.Name == name {
 			return fil.Data
@@ -21,8 +21,9 @@
 	return nil
 }
 
-// TestParse runs one case for each archive in testdata: the two tables, and the
-// errors expected of them. `go test -update` writes what is found.
+// TestParse runs one case for each archive in testdata: it parses the two
+// tables and compares the diagnostics with the golden file. `go test -update`
+// rewrites the golden files.
 func TestParse(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.txtar")
 	assert.NilError(t, err)
@@ -32,7 +33,7 @@
 		t.Run(name, func(t *testing.T) {
 			arc, err := txtar.ParseFile(path)
 			assert.NilError(t, err)
-			_, err = table.Parse("routes.toml", file(arc, "routes.toml"), "pools.toml", file(arc, "pools.toml"))
+			_, err = table.Parse("routes.toml", archiveFile(arc, "routes.toml"), "pools.toml", archiveFile(arc, "pools.toml"))
 			text := "fine\n"
 			if err != nil {
 				text = err.Error() + "\n"
@@ -42,10 +43,10 @@
 	}
 }
 
-func TestFormatReadsBackAsTheSame(t *testing.T) {
+func TestFormatRoundTrip(t *testing.T) {
 	arc, err := txtar.ParseFile("testdata/fine.txtar")
 	assert.NilError(t, err)
-	tbs, err := table.Parse("routes.toml", file(arc, "routes.toml"), "pools.toml", file(arc, "pools.toml"))
+	tbs, err := table.Parse("routes.toml", archiveFile(arc, "routes.toml"), "pools.toml", archiveFile(arc, "pools.toml"))
 	assert.NilError(t, err)
 	routes, pools, err := tbs.Format()
 	assert.NilError(t, err)
