--- a/pkg/outcome/outcome.go
+++ b/pkg/outcome/outcome.go
@@ -1,28 +1,28 @@
-// Package outcome defines what an answer says of the work: the outcome, the
-// code of a refusal, and how both are written in headers and JSON.
+// Package outcome defines the outcome of a piece of work, the code of a
+// refusal, and the encoding of both in headers and JSON.
 package outcome
 
 import "net/http"
 
-// Header is the response header that holds the outcome.
+// Header is the response header that carries the outcome.
 const Header = "Balsamgauge-Outcome"
 
-// Outcome says what became of a piece of work.
+// Outcome is what became of a piece of work.
 type Outcome string
 
 // The outcomes.
 const (
-	// Answered work was run and its whole answer is in the response.
+	// Answered work ran, and its complete response was returned.
 	Answered Outcome = "answered"
-	// NotRun work was certainly not run.
+	// NotRun work is guaranteed not to have run.
 	NotRun Outcome = "not_run"
-	// Unknown work may have been run.
+	// Unknown work may or may not have run.
 	Unknown Outcome = "unknown"
-	// Accepted tasks are in the store and will be run.
+	// Accepted tasks are in the store and will run.
 	Accepted Outcome = "accepted"
 )
 
-// Code says why work was refused or its outcome is unknown.
+// Code is the reason why work was refused or its outcome is unknown.
 type Code string
 
 // The codes.
@@ -48,7 +48,11 @@
 	CodeAcceptanceUnknown Code = "acceptance_unknown"
 )
 
-// HTTPStatus returns the HTTP status that goes with a code.
+// statusClientClosedRequest is the nonstandard status that nginx introduced for
+// a client that closed its request.
+const statusClientClosedRequest = 499
+
+// HTTPStatus returns the HTTP status of responses with the code.
 func (cod Code) HTTPStatus() int {
 	switch cod {
 	case CodeUnauthorized:
@@ -70,13 +74,13 @@
 	case CodeInvalid:
 		return http.StatusBadRequest
 	case CodeCancelled:
-		return 499
+		return statusClientClosedRequest
 	default:
 		return http.StatusServiceUnavailable
 	}
 }
 
-// Refusal is the JSON body of an answer that is not the upstream's.
+// Refusal is the JSON body of a response that does not come from an upstream.
 type Refusal struct {
 	Outcome Outcome `json:"outcome"`
 	Code    Code    `json:"code"`
