--- a/internal/core/worker/machine.go
+++ b/internal/core/worker/machine.go
@@ -2,51 +2,54 @@
 
 import "github.com/balsamgauge/balsamgauge/internal/core/job"
 
-// MachineState says what a machine does.
+// MachineState is the state of a machine as the platform lists it.
 type MachineState string
 
-// The states of machines.
+// Machine states.
 const (
-	MachineUp     MachineState = "up"
+	MachineUp MachineState = "up"
+	// MachineMoving means that the machine is being moved to another pool.
 	MachineMoving MachineState = "moving"
+	// MachineUpkeep means that the machine is down for maintenance.
 	MachineUpkeep MachineState = "upkeep"
 	MachineDown   MachineState = "down"
 )
 
-// Machine is what outlives the lives of a VM: its name, room and rack.
+// Machine is a machine of the platform. It keeps its name, capacity and labels
+// while the VM on it is replaced by later incarnations.
 type Machine struct {
 	Name  string
 	Pool  string
 	State MachineState
 	AZ    string
-	// Labels are its kind and rack.
+	// Labels holds the kind of the machine and its rack.
 	Labels   []string
 	Capacity job.Size
-	// VM is the ID of its present life; empty if it has none.
+	// VM is the ID of the VM that currently runs on the machine; empty if none does.
 	VM string
 }
 
-// MachineResult is how an order for a machine was answered.
+// MachineResult is the result of an order to move or maintain a machine.
 type MachineResult int
 
-// The results of orders for machines.
+// Results of machine orders.
 const (
 	MachineOK MachineResult = iota
-	// MachineUnknown means that the order may have been carried out.
+	// MachineUnknown means that no valid response was received. The order may
+	// have been carried out.
 	MachineUnknown
-	// MachineRefused means that nothing was done and the order may be given
-	// again.
+	// MachineRefused means that the order was not carried out and may be retried.
 	MachineRefused
-	// MachineBusy means that the machine isn't up, or leaves.
+	// MachineBusy means that the machine is not up or is shutting down.
 	MachineBusy
-	// MachineNotInWave means that the wave doesn't name the machine.
+	// MachineNotInWave means that the machine is not part of the wave.
 	MachineNotInWave
-	// MachineInvalid means that there is no such machine, or that it may not be
-	// in that pool.
+	// MachineInvalid means that the machine does not exist or is not allowed in
+	// the requested pool.
 	MachineInvalid
 )
 
-// String names the result for logs.
+// String returns the name of the result as it is logged.
 func (res MachineResult) String() string {
 	return [...]string{"ok", "unknown", "refused", "busy", "not_in_wave", "invalid"}[res]
 }
--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -1,4 +1,12 @@
-// Package worker describes the VMs that run tasks, and what they report.
+// Package worker describes the VMs that run tasks and the reports that they
+// send to the dispatcher.
+//
+// A VM is one incarnation of a VM that runs tasks: from one start of the VM to
+// its end. A Machine is the machine below it, which outlasts incarnations. A run
+// is one attempt to execute a task on a VM. Scheduler code calls its record of
+// a VM a host; the platform's API calls the VM's side that executes runs an
+// executor. The VMs that the entries use for requests are described by package
+// vm.
 package worker
 
 import (
@@ -7,35 +15,40 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/job"
 )
 
-// VM is one life of a VM of a pool, as it registered itself. It is immutable.
+// VM is one incarnation of a VM, as registered in the store. It is immutable.
 type VM struct {
-	// ID is unique among the lives of VMs, except that a VM may start again
-	// under the ID that it had; Born then differs.
+	// ID is unique among incarnations, except that a VM may restart under the
+	// same ID; Born differs then.
 	ID string
-	// Born is when this life began, in Unix milliseconds; 0 if not told.
+	// Born is the start time of this incarnation in Unix milliseconds; 0 if not
+	// reported.
 	Born int64
-	// Pool names the pool that the VM serves.
+	// Pool is the name of the pool that the VM serves.
 	Pool    string
 	Address string
 	AZ      string
-	// Labels names the VM's kind and its rack.
+	// Labels holds the kind of the VM and its rack.
 	Labels []string
-	// Rack is the rack of the VM's machine; empty if it is not told.
+	// Rack is the rack of the VM's machine; empty if not reported.
 	Rack string
-	// Capacity is what its tasks may take together.
+	// Capacity is the total size of the tasks that the VM can run at the same
+	// time.
 	Capacity job.Size
-	// Leaving says that the VM shuts down soon and takes no new work.
+	// Leaving is set when the VM is draining: it shuts down soon and accepts no
+	// new work.
 	Leaving bool
-	// ColdRemaining is how much longer the VM is slow after its start.
+	// ColdRemaining is the remaining time for which the VM is slow after its
+	// start.
 	ColdRemaining time.Duration
 }
 
-// SameIncarnation reports whether two registrations are of the same life.
+// SameIncarnation reports whether two registrations belong to the same
+// incarnation. An unreported start time matches any other.
 func (one VM) SameIncarnation(oth VM) bool {
 	return one.ID == oth.ID && (one.Born == oth.Born || one.Born == 0 || oth.Born == 0) && one.Address == oth.Address
 }
 
-// HasLabel reports whether the VM has a label.
+// HasLabel reports whether the VM has the given label.
 func (one VM) HasLabel(label string) bool {
 	for _, lab := range one.Labels {
 		if lab == label {
@@ -45,36 +58,42 @@
 	return false
 }
 
-// Running is a run that a VM lists.
+// Running is an active run in a VM's report.
 type Running struct {
 	Task       job.Task
 	Run        int
 	Checkpoint string
-	// Percent is how far it has got; of tasks that last, 100 means at work.
+	// Percent is the progress of the run. For a long-running task, 100 means that
+	// it is working.
 	Percent int
-	// Load is the tail of response times in milliseconds for a task that
-	// serves, and the processors in use, in thousandths, for others.
+	// Load is the tail latency in milliseconds for a serving task, and the CPU in
+	// use in thousandths of a core for any other task.
 	Load int64
 }
 
-// EndKind says how a run ended.
+// EndKind is the way in which a run ended.
 type EndKind string
 
-// The ways in which a run ends.
+// Ways in which a run ends.
 const (
-	EndDone         EndKind = "done"
-	EndFailed       EndKind = "failed"
-	EndStopped      EndKind = "stopped"
+	EndDone   EndKind = "done"
+	EndFailed EndKind = "failed"
+	// EndStopped means that the dispatcher stopped the run.
+	EndStopped EndKind = "stopped"
+	// EndLeaseExpired means that the lease of the run was not extended in time.
 	EndLeaseExpired EndKind = "lapsed"
 	// EndGangBroken means that another member of the gang ended.
 	EndGangBroken EndKind = "broken"
-	// EndGangIncomplete means that the other members of the gang didn't come in time.
+	// EndGangIncomplete means that the other members of the gang did not start in
+	// time.
 	EndGangIncomplete EndKind = "alone"
 )
 
-// End is the end of a run that a VM lists until it is acknowledged.
+// End is the record of a run that ended. The VM reports it until the dispatcher
+// acknowledges it.
 type End struct {
-	// Number counts the ends of one life of a VM from 1.
+	// Number is the sequence number of the end within one incarnation of a VM,
+	// starting at 1.
 	Number     int64
 	Task       job.Task
 	Run        int
@@ -82,46 +101,49 @@
 	Checkpoint string
 }
 
-// Report is a VM's answer to a look at it.
+// Report is a VM's response to a poll.
 type Report struct {
-	// Clock is the VM's own clock when it answered.
+	// Clock is the reading of the VM's own clock at the time of the response.
 	Clock   time.Duration
 	Born    int64
 	Running []Running
-	// Ends are in the order of their numbers. All ends below the first have been
-	// acknowledged.
+	// Ends is sorted by number. All ends with lower numbers than the first one
+	// have been acknowledged.
 	Ends []End
 }
 
-// Result is how a VM answered an order.
+// Result is the result of an order or a poll that was sent to a VM.
 type Result int
 
-// The results of orders.
+// Results of orders and polls.
 const (
 	// ResultOK means that the order was carried out.
 	ResultOK Result = iota
-	// ResultUnknown means that no answer came: the order may have been carried
-	// out, or may still be.
+	// ResultUnknown means that no valid response was received. The order may have
+	// been carried out or may still be.
 	ResultUnknown
-	// ResultFenced means that a dispatcher with a higher term has called the VM.
+	// ResultFenced means that the VM has seen a dispatcher with a higher term.
 	ResultFenced
-	// ResultOldRun means that a run that is not lower has ended there.
+	// ResultOldRun means that a run of the task with the same or a higher number
+	// has already ended on the VM.
 	ResultOldRun
-	// ResultLate means that the order's deadline had passed.
+	// ResultLate means that the order reached the VM after its deadline.
 	ResultLate
-	// ResultNoRoom means that the task doesn't fit.
+	// ResultNoRoom means that the VM has too little free capacity for the task.
 	ResultNoRoom
-	// ResultNoTicket means that the advisor's ticket isn't valid.
+	// ResultNoTicket means that the ticket from the advisor is missing or invalid.
 	ResultNoTicket
-	// ResultUnhealthy means that the VM refused and did nothing.
+	// ResultUnhealthy means that the order was not carried out: the VM refused it
+	// or could not be reached.
 	ResultUnhealthy
-	// ResultOtherIncarnation means that another life of the VM answered.
+	// ResultOtherIncarnation means that another incarnation responded at the VM's
+	// address.
 	ResultOtherIncarnation
 	// ResultInvalid means that the order was malformed.
 	ResultInvalid
 )
 
-// String names the result for logs.
+// String returns the name of the result as it is logged.
 func (res Result) String() string {
 	return [...]string{"ok", "unknown", "fenced", "old_run", "late", "no_room", "no_ticket", "unhealthy", "other_life", "invalid"}[res]
 }
