--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -1,5 +1,9 @@
-// Package job describes jobs: steps of sized tasks with dependencies, and how
-// far they have got. It is pure data.
+// Package job holds the specification and the progress of jobs. It is pure data.
+//
+// A job consists of steps. A step is a number of equal tasks that start once the
+// steps before it are done; the tasks of a gang run all together or not at all.
+// A recurring job has several occurrences, each of which runs all steps. A run
+// is one attempt to execute a task.
 package job
 
 import (
@@ -9,83 +13,87 @@
 	"time"
 )
 
-// ID names a job. Its submitter chooses it.
+// ID identifies a job. The client chooses it on submission.
 type ID string
 
-// Size is the room that a task needs or a VM has.
+// Size is an amount of resources: what a task needs or what a VM provides.
 type Size struct {
-	// CPU is in thousandths of a core.
+	// CPU is the number of cores in thousandths.
 	CPU int64 `msgpack:"c,omitempty"`
-	// Memory is in megabytes.
+	// Memory is the amount of memory in megabytes.
 	Memory int64 `msgpack:"m,omitempty"`
-	// Accelerators is a number of devices.
+	// Accelerators is the number of accelerator devices.
 	Accelerators int64 `msgpack:"a,omitempty"`
 }
 
-// Plus returns the sum of two sizes.
+// Plus returns the sum of siz and oth.
 func (siz Size) Plus(oth Size) Size {
 	return Size{siz.CPU + oth.CPU, siz.Memory + oth.Memory, siz.Accelerators + oth.Accelerators}
 }
 
-// Minus returns the difference of two sizes.
+// Minus returns the difference of siz and oth.
 func (siz Size) Minus(oth Size) Size {
 	return Size{siz.CPU - oth.CPU, siz.Memory - oth.Memory, siz.Accelerators - oth.Accelerators}
 }
 
-// Times returns the size of n tasks.
+// Times returns the total size of n tasks of size siz.
 func (siz Size) Times(n int) Size {
 	return Size{siz.CPU * int64(n), siz.Memory * int64(n), siz.Accelerators * int64(n)}
 }
 
-// Fits reports whether the size is at most another one.
-func (siz Size) Fits(room Size) bool {
-	return siz.CPU <= room.CPU && siz.Memory <= room.Memory && siz.Accelerators <= room.Accelerators
+// Fits reports whether no component of siz exceeds that of limit.
+func (siz Size) Fits(limit Size) bool {
+	return siz.CPU <= limit.CPU && siz.Memory <= limit.Memory && siz.Accelerators <= limit.Accelerators
 }
 
-// acceleratorCores is what an accelerator counts as in core-seconds, from the
-// platform's price list.
-const acceleratorCores = 8
+// coresPerAccelerator is the number of cores that one accelerator counts as,
+// from the platform's price list.
+const coresPerAccelerator = 8
 
-// Cores returns the size as cores.
+// Cores returns the size in cores, with accelerators converted to cores.
 func (siz Size) Cores() float64 {
-	return float64(siz.CPU)/1000 + float64(siz.Accelerators*acceleratorCores)
+	return float64(siz.CPU)/1000 + float64(siz.Accelerators*coresPerAccelerator)
 }
 
-// Step is a number of equal tasks.
+// Step is a number of equal tasks of a job.
 type Step struct {
 	Count int  `msgpack:"n"`
 	Size  Size `msgpack:"s"`
-	// Estimate is the submitter's rough guess of a task's run time.
+	// Estimate is the client's rough estimate of the run time of a task.
 	Estimate time.Duration `msgpack:"e,omitempty"`
-	// After lists earlier steps whose tasks must all be done first.
+	// After lists the earlier steps that must be done before this one starts.
 	After []int `msgpack:"f,omitempty"`
-	// Checkpointing tasks resume from their latest checkpoint.
+	// Checkpointing is set if tasks resume from their latest checkpoint.
 	Checkpointing bool `msgpack:"k,omitempty"`
-	// Gang tasks work only while all of them run.
+	// Gang is set if tasks make progress only while all tasks of the step run.
 	Gang bool `msgpack:"g,omitempty"`
-	// SameRack tasks are slow when they run on more than one rack.
-	SameRack bool   `msgpack:"sr,omitempty"`
-	Label    string `msgpack:"l,omitempty"`
-	// DataRack is the rack where the tasks' data lies; they are slow elsewhere.
+	// SameRack is set if tasks are slow when they run on more than one rack.
+	SameRack bool `msgpack:"sr,omitempty"`
+	// Label is the label that a VM needs to run the tasks; empty if any VM may.
+	Label string `msgpack:"l,omitempty"`
+	// DataRack is the rack that stores the tasks' data; tasks are slow on any
+	// other rack.
 	DataRack string `msgpack:"d,omitempty"`
-	// MaxPerVM bounds the tasks of one occurrence on a VM; 0 is no bound.
+	// MaxPerVM is the maximum number of tasks of one occurrence on a VM; 0 means
+	// no limit.
 	MaxPerVM int `msgpack:"p,omitempty"`
-	// Speculative tasks may run in several copies at once.
+	// Speculative is set if several copies of a task may run at the same time.
 	Speculative bool `msgpack:"sp,omitempty"`
-	// LongRunning tasks run until the job is cancelled.
+	// LongRunning is set if tasks run until the job is cancelled.
 	LongRunning bool   `msgpack:"lr,omitempty"`
 	Image       string `msgpack:"i,omitempty"`
-	// TailTarget is the bound of the tail of a serving task's response times;
-	// 0 for tasks that don't serve.
+	// TailTarget is the upper limit for the tail latency of a serving task; 0 for
+	// tasks that do not serve requests.
 	TailTarget time.Duration `msgpack:"t,omitempty"`
-	// Fills says that the tasks use the processors that others leave idle: their
-	// CPU doesn't count against a VM's capacity.
+	// Fills is set for best-effort tasks. They use the CPU that other tasks leave
+	// idle, and their own CPU does not count against a VM's capacity.
 	Fills bool `msgpack:"fi,omitempty"`
-	// MayMiss is how many tasks the system may keep from work at once.
+	// MayMiss is the availability budget of a long-running step: the maximum
+	// number of tasks that the system may make unavailable at the same time.
 	MayMiss int `msgpack:"mm,omitempty"`
 }
 
-// Reservation returns what a task takes of a VM's capacity.
+// Reservation returns the part of a VM's capacity that a task reserves.
 func (ste Step) Reservation() Size {
 	siz := ste.Size
 	if ste.Fills {
@@ -94,28 +102,31 @@
 	return siz
 }
 
-// Spec is a job as it was submitted.
+// Spec is the specification of a job as submitted.
 type Spec struct {
 	ID ID `msgpack:"id"`
-	// Queue names the queue that took the job.
+	// Queue is the name of the queue that accepted the job.
 	Queue string `msgpack:"q"`
-	// Account names the client account; empty on queues open to all.
+	// Account is the name of the client account; empty on public queues.
 	Account string `msgpack:"a,omitempty"`
 	Payload string `msgpack:"p"`
 	Steps   []Step `msgpack:"s"`
-	// Accepted is when the job was accepted, by the accepting entry's clock.
+	// Accepted is the time at which the job was accepted, by the clock of the
+	// entry that accepted it.
 	Accepted time.Time `msgpack:"t"`
-	// Occurrences is how often the steps run; 0 means once, at once.
+	// Occurrences is the number of times that the steps run; 0 means once and
+	// immediately.
 	Occurrences int `msgpack:"n,omitempty"`
-	// FirstDue and Interval give when each occurrence is due.
+	// FirstDue is the time at which the first occurrence is due, and Interval is
+	// the time between occurrences.
 	FirstDue time.Time     `msgpack:"fd,omitempty"`
 	Interval time.Duration `msgpack:"iv,omitempty"`
 }
 
-// OccurrenceCount returns how often the steps run, at least 1.
+// OccurrenceCount returns the number of occurrences, at least 1.
 func (spe Spec) OccurrenceCount() int { return max(1, spe.Occurrences) }
 
-// Due returns when an occurrence may start.
+// Due returns the earliest start time of an occurrence.
 func (spe Spec) Due(occ int) time.Time {
 	if spe.Occurrences == 0 {
 		return spe.Accepted
@@ -123,7 +134,8 @@
 	return spe.FirstDue.Add(time.Duration(occ) * spe.Interval)
 }
 
-// IsLongRunning reports whether the job runs until it is cancelled.
+// IsLongRunning reports whether any step of the job runs until the job is
+// cancelled.
 func (spe Spec) IsLongRunning() bool {
 	for _, ste := range spe.Steps {
 		if ste.LongRunning {
@@ -133,7 +145,7 @@
 	return false
 }
 
-// Work returns the core-seconds of one occurrence, by the estimates.
+// Work returns the estimated work of one occurrence in core-seconds.
 func (spe Spec) Work() float64 {
 	sum := 0.0
 	for _, ste := range spe.Steps {
@@ -142,18 +154,20 @@
 	return sum
 }
 
-// CriticalPath returns the longest chain of those steps that count, each as long as span
-// says. A nil function counts all steps, or takes the estimates.
-func (spe Spec) CriticalPath(counts func(step int) bool, span func(ste Step) time.Duration) (longest time.Duration) {
+// CriticalPath returns the length of the longest chain of dependent steps. Steps
+// for which included returns false count as zero; a nil included counts all
+// steps. The length of a step is given by duration, or by its estimate if
+// duration is nil.
+func (spe Spec) CriticalPath(included func(step int) bool, duration func(ste Step) time.Duration) (longest time.Duration) {
 	ends := make([]time.Duration, len(spe.Steps))
 	for i, ste := range spe.Steps {
 		for _, dep := range ste.After {
 			ends[i] = max(ends[i], ends[dep])
 		}
 		switch {
-		case counts != nil && !counts(i):
-		case span != nil:
-			ends[i] += span(ste)
+		case included != nil && !included(i):
+		case duration != nil:
+			ends[i] += duration(ste)
 		default:
 			ends[i] += ste.Estimate
 		}
@@ -162,26 +176,29 @@
 	return longest
 }
 
-// Bounds of a job. They keep its progress record below the megabyte that the store
-// takes, and what its occurrences take in a dispatcher's memory small.
+// Limits on the size of a job. They keep its progress record below the
+// megabyte that the store accepts, and bound the memory that the dispatcher uses
+// for its occurrences.
 const (
-	// MaxTasks bounds the tasks of one step.
+	// MaxTasks is the maximum number of tasks in a step.
 	MaxTasks = 10_000
-	// MaxSteps bounds the steps.
+	// MaxSteps is the maximum number of steps in a job.
 	MaxSteps = 1000
-	// MaxOccurrences bounds the occurrences.
+	// MaxOccurrences is the maximum number of occurrences of a job.
 	MaxOccurrences = 10_000
-	// MaxTotalTasks bounds the tasks of all steps and occurrences.
+	// MaxTotalTasks is the maximum number of tasks over all steps and occurrences
+	// of a job.
 	MaxTotalTasks = 50_000
 )
 
-// Check returns what is wrong with a job.
+// Check returns an error if the specification is inconsistent or exceeds a
+// limit.
 func (spe Spec) Check() error {
 	if len(spe.Steps) == 0 || len(spe.Steps) > MaxSteps {
-		return fmt.Errorf("job %s has %d steps, not 1 to %d", spe.ID, len(spe.Steps), MaxSteps)
+		return fmt.Errorf("job %s has %d steps, must have 1 to %d", spe.ID, len(spe.Steps), MaxSteps)
 	}
 	if spe.Occurrences < 0 || spe.Occurrences > MaxOccurrences || spe.Interval < 0 {
-		return fmt.Errorf("job %s has %d occurrences every %v, not up to %d", spe.ID, spe.Occurrences, spe.Interval, MaxOccurrences)
+		return fmt.Errorf("job %s has %d occurrences every %v, must have 0 to %d at an interval of 0 or more", spe.ID, spe.Occurrences, spe.Interval, MaxOccurrences)
 	}
 	all := 0
 	for i, ste := range spe.Steps {
@@ -191,31 +208,31 @@
 		all += ste.Count
 	}
 	if all*spe.OccurrenceCount() > MaxTotalTasks {
-		return fmt.Errorf("job %s has %d tasks in %d occurrences, more than %d together", spe.ID, all, spe.OccurrenceCount(), MaxTotalTasks)
+		return fmt.Errorf("job %s has %d tasks in %d occurrences, exceeding the limit of %d in total", spe.ID, all, spe.OccurrenceCount(), MaxTotalTasks)
 	}
 	return nil
 }
 
-// check returns what is wrong with the step of a number.
+// check returns an error if the step, which has index num in its job, is invalid.
 func (ste Step) check(num int) error {
 	if ste.Count < 1 || ste.Count > MaxTasks {
-		return fmt.Errorf("step %d has %d tasks, not 1 to %d", num, ste.Count, MaxTasks)
+		return fmt.Errorf("step %d has %d tasks, must have 1 to %d", num, ste.Count, MaxTasks)
 	}
 	if ste.Size.CPU < 0 || ste.Size.Memory < 0 || ste.Size.Accelerators < 0 {
 		return fmt.Errorf("step %d has a negative size", num)
 	}
 	if ste.Estimate < 0 || ste.TailTarget < 0 {
-		return fmt.Errorf("step %d has an estimate of %v and a target of %v", num, ste.Estimate, ste.TailTarget)
+		return fmt.Errorf("step %d has an estimate of %v and a tail target of %v, must not be negative", num, ste.Estimate, ste.TailTarget)
 	}
 	for _, dep := range ste.After {
 		if dep < 0 || dep >= num {
-			return fmt.Errorf("step %d comes after step %d, which is not an earlier one", num, dep)
+			return fmt.Errorf("step %d comes after step %d, which is not an earlier step", num, dep)
 		}
 	}
 	return nil
 }
 
-// Task names a task of a job.
+// Task identifies a task of a job.
 type Task struct {
 	Job        ID
 	Occurrence int
@@ -223,15 +240,15 @@
 	Index      int
 }
 
-// String writes the task as JOB.OCCURRENCE.STEP.INDEX.
+// String returns the task name in the form JOB.OCCURRENCE.STEP.INDEX.
 func (tas Task) String() string {
 	return fmt.Sprintf("%s.%d.%d.%d", tas.Job, tas.Occurrence, tas.Step, tas.Index)
 }
 
-// taskParts is the number of parts in a task's name.
+// taskParts is the number of dot-separated parts of a task name.
 const taskParts = 4
 
-// ParseTask reads a task's name.
+// ParseTask parses a task name as returned by Task.String.
 func ParseTask(text string) (tas Task, err error) {
 	parts := strings.Split(text, ".")
 	if len(parts) != taskParts || parts[0] == "" {
@@ -241,7 +258,7 @@
 	for i, part := range parts[1:] {
 		numbers[i], err = strconv.Atoi(part)
 		if err != nil || numbers[i] < 0 {
-			return Task{}, fmt.Errorf("task name %q: %q is not a number", text, part)
+			return Task{}, fmt.Errorf("task name %q: %q is not a non-negative number", text, part)
 		}
 	}
 	return Task{Job: ID(parts[0]), Occurrence: numbers[0], Step: numbers[1], Index: numbers[2]}, nil
--- a/internal/core/job/progress.go
+++ b/internal/core/job/progress.go
@@ -7,10 +7,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// State is what a submitter is told of a job.
+// State is the state of a job as reported to its client.
 type State string
 
-// The states. The last three are final.
+// Job states. The last three are final.
 const (
 	StateQueued    State = "queued"
 	StateRunning   State = "running"
@@ -19,31 +19,33 @@
 	StateCancelled State = "cancelled"
 )
 
-// TaskRecord is what must outlast a dispatcher of one task.
+// TaskRecord is the stored progress of one task. It outlasts the dispatcher.
 type TaskRecord struct {
 	Occurrence int  `msgpack:"o,omitempty"`
 	Step       int  `msgpack:"s,omitempty"`
 	Index      int  `msgpack:"i,omitempty"`
 	Done       bool `msgpack:"d,omitempty"`
-	// FailedRuns lists the runs that ended failed, in the order in which they
-	// were heard of. A VM lists an end again until it is acknowledged.
+	// FailedRuns lists the runs that failed, in the order in which they were
+	// reported. It serves to count each of them once, as a VM reports an end
+	// repeatedly until it is acknowledged.
 	FailedRuns []int `msgpack:"fr,omitempty"`
-	// Run is the highest run that was known when the record was written.
+	// Run is the highest run number known when the record was written.
 	Run        int    `msgpack:"r,omitempty"`
 	Checkpoint string `msgpack:"c,omitempty"`
 }
 
-// Progress is how far a live job has got. Tasks without a record are new.
+// Progress is the stored progress of a live job. A task without a record has not
+// made any progress.
 type Progress struct {
 	Tasks []TaskRecord `msgpack:"t"`
 }
 
-// Outcome is what is kept of a job that has ended.
+// Outcome is the record that is kept of a job that has ended.
 type Outcome struct {
 	State   State  `msgpack:"s"`
 	Queue   string `msgpack:"q"`
 	Account string `msgpack:"a,omitempty"`
-	// At is when the job ended, by the dispatcher's clock.
+	// At is the time at which the job ended, by the dispatcher's clock.
 	At time.Time `msgpack:"t,omitempty"`
 }
 
@@ -56,7 +58,7 @@
 	return raw, nil
 }
 
-// Unmarshal decodes what Marshal encoded.
+// Unmarshal decodes a record that was encoded by Marshal.
 func Unmarshal[T Spec | Progress | Outcome](raw []byte) (rec T, err error) {
 	if err = msgpack.Unmarshal(raw, &rec); err != nil {
 		return rec, fmt.Errorf("decode %T: %w", rec, err)
@@ -64,19 +66,19 @@
 	return rec, nil
 }
 
-// Keys of the store that hold jobs.
+// Prefixes and suffixes of the store keys for jobs.
 const (
-	// LivePrefix begins the keys of accepted jobs that haven't ended.
+	// LivePrefix is the prefix of the keys of accepted jobs that have not ended.
 	LivePrefix = "live/"
-	// ProgressPrefix begins the keys of live jobs' progress.
+	// ProgressPrefix is the prefix of the keys that hold the progress of live jobs.
 	ProgressPrefix = "progress/"
-	// EndedPrefix begins the keys of jobs that have ended.
+	// EndedPrefix is the prefix of the keys of jobs that have ended.
 	EndedPrefix = "ended/"
-	// cancelSuffix ends the key that marks a live job as cancelled.
+	// cancelSuffix is the suffix of the key that marks a live job as cancelled.
 	cancelSuffix = "/cancel"
 )
 
-// LiveKey returns the key of an accepted job.
+// LiveKey returns the key of an accepted job that has not ended.
 func LiveKey(id ID) string { return LivePrefix + string(id) }
 
 // CancelKey returns the key that marks a live job as cancelled.
@@ -88,7 +90,8 @@
 // EndedKey returns the key of a job that has ended.
 func EndedKey(id ID) string { return EndedPrefix + string(id) }
 
-// ParseLiveKey reads a key under LivePrefix.
+// ParseLiveKey returns the job ID in a key under LivePrefix, and whether the key
+// marks the job as cancelled.
 func ParseLiveKey(key string) (id ID, cancel bool) {
 	rest := key[len(LivePrefix):]
 	if n := len(rest) - len(cancelSuffix); n > 0 && rest[n:] == cancelSuffix {
