--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -3,10 +3,11 @@
 //
 // A VM is one incarnation of a VM that runs tasks: from one start of the VM to
 // its end. A Machine is the machine below it, which outlasts incarnations. A run
-// is one attempt to execute a task on a VM. Scheduler code calls its record of
-// a VM a host; the platform's API calls the VM's side that executes runs an
-// executor. The VMs that the entries use for requests are described by package
-// vm.
+// is one attempt to execute a task on a VM. The scheduler calls its record of a VM
+// a host, and package platform calls the client for these VMs Executors.
+//
+// The VMs of the entries, which offer the services executor and worker, are
+// described by package vm.
 package worker
 
 import (
