--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -1,7 +1,7 @@
 // Package job holds the specification and the progress of jobs. It is pure data.
 //
 // A job consists of steps. A step is a number of equal tasks that start once the
-// steps before it are done; the tasks of a gang run all together or not at all.
+// steps that it depends on are done; the tasks of a gang run all together or not at all.
 // A recurring job has several occurrences, each of which runs all steps. A run
 // is one attempt to execute a task.
 package job
@@ -61,7 +61,8 @@
 	Size  Size `msgpack:"s"`
 	// Estimate is the client's rough estimate of the run time of a task.
 	Estimate time.Duration `msgpack:"e,omitempty"`
-	// After lists the earlier steps that must be done before this one starts.
+	// After lists the indexes of the earlier steps that must be done before this
+	// one starts.
 	After []int `msgpack:"f,omitempty"`
 	// Checkpointing is set if tasks resume from their latest checkpoint.
 	Checkpointing bool `msgpack:"k,omitempty"`
@@ -89,7 +90,8 @@
 	// idle, and their own CPU does not count against a VM's capacity.
 	Fills bool `msgpack:"fi,omitempty"`
 	// MayMiss is the availability budget of a long-running step: the maximum
-	// number of tasks that the system may make unavailable at the same time.
+	// number of tasks that the system may make unavailable at the same time; 0
+	// means no limit.
 	MayMiss int `msgpack:"mm,omitempty"`
 }
 
