--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -1,5 +1,6 @@
-// Package catalog is the operators' configuration as the processes use it:
-// queues joined by name to the pools that run their tasks, and client accounts.
+// Package catalog holds the operators' configuration in the form that the
+// processes use: queues, the pools that run their tasks, and client accounts,
+// with indexes for look-ups.
 package catalog
 
 import (
@@ -10,51 +11,58 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/job"
 )
 
-// Advice says that an advisor decides which VMs may run a queue's steps.
+// Advice describes the advisor that decides which VMs may run a queue's steps.
 type Advice struct {
-	// Decision and PerVM make up how long the advisor takes.
+	// Decision is the fixed part of the advisor's response time.
 	Decision time.Duration
-	PerVM    time.Duration
-	// Valid is how long a ticket holds.
+	// PerVM is the additional response time for each VM in the request.
+	PerVM time.Duration
+	// Valid is the time for which a ticket is valid.
 	Valid time.Duration
 }
 
-// Queue takes jobs. It is a route of the operators' table.
+// Queue accepts jobs. It corresponds to a route in the operators' table.
 type Queue struct {
 	// Name is unique among the queues.
-	Name   string
+	Name string
+	// Host and Prefix select the calls that belong to the queue. Hosts are
+	// compared without regard to case.
 	Host   string
 	Prefix string
-	// Pool names the pool that runs the tasks.
+	// Pool is the name of the pool that runs the tasks.
 	Pool string
-	// Priority orders queues; 0 comes first.
+	// Priority is the rank of the queue; lower values are served first.
 	Priority int
-	// MaxAttempts is how often a task may fail before its job does; at least 1.
+	// MaxAttempts is the number of failed runs of a task after which its job
+	// fails; at least 1.
 	MaxAttempts int
-	// SlackFactor and Target make up a job's latency objective.
+	// SlackFactor and Target determine a job's latency objective; see Objective.
 	SlackFactor float64
 	Target      time.Duration
-	// Timeout bounds how long a call may take; 0 is no bound.
+	// Timeout is the maximum duration of a call; 0 means no limit.
 	Timeout time.Duration
-	// Public queues take jobs without a key.
+	// Public is set if the queue accepts jobs without a key.
 	Public bool
-	// Advice is nil on queues whose steps may run anywhere in the pool.
+	// Advice is nil if the steps may run on any VM of the pool.
 	Advice *Advice
 }
 
-// Objective returns the latency objective of a job with a chain of steps.
-func (que *Queue) Objective(chain time.Duration) time.Duration {
-	return que.Target + time.Duration(que.SlackFactor*float64(chain))
+// Objective returns the latency objective of a job with the given critical path:
+// the target plus the slack factor times the critical path.
+func (que *Queue) Objective(criticalPath time.Duration) time.Duration {
+	return que.Target + time.Duration(que.SlackFactor*float64(criticalPath))
 }
 
-// Pool is a group of VMs.
+// Pool is a group of VMs that run the tasks of the same queues.
 type Pool struct {
 	Name string
-	// EnforcesCapacity says that its VMs reject tasks that don't fit.
+	// EnforcesCapacity is set if the pool's VMs reject tasks that exceed their
+	// free capacity.
 	EnforcesCapacity bool
-	// Standby VMs are off and cost nothing until they are moved elsewhere.
+	// Standby is set if the pool's machines are switched off and cost nothing
+	// until they are moved to another pool.
 	Standby bool
-	// HealthPath is where a VM answers whether it considers itself healthy.
+	// HealthPath is the path of the VMs' health check.
 	HealthPath string
 }
 
@@ -62,22 +70,26 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Weight is the account's share when a pool is full.
+	// Weight is the rate, in jobs per second, that the account is entitled to when
+	// a pool is full; 0 means no limit.
 	Weight float64
-	// Cap bounds what the account has running over all pools; 0 is no bound.
+	// Cap is the maximum size of the account's running tasks over all pools; 0
+	// means no limit.
 	Cap job.Size
 }
 
-// Catalog is one version of the configuration. It is immutable.
+// Catalog is one version of the configuration. It is immutable; use New to build
+// one whose look-up methods work.
 type Catalog struct {
-	// Version is the operators' number of it. It rises.
+	// Version is the version number that the operators assign. It increases with
+	// each change.
 	Version int64
-	// Revision is the store's revision that holds it.
+	// Revision is the revision of the store that contains this version.
 	Revision int64
 	Queues   []Queue
 	Pools    []Pool
 	Accounts []Account
-	// MaxBody is the largest body of a call in bytes; 0 is no bound.
+	// MaxBody is the maximum size of a call's body in bytes; 0 means no limit.
 	MaxBody int64
 
 	queues   map[string]*Queue
@@ -87,7 +99,7 @@
 	hosts    map[string][]*Queue
 }
 
-// New returns a catalog with its indexes.
+// New returns the catalog with its indexes built.
 func New(cat Catalog) Catalog {
 	cat.queues = make(map[string]*Queue, len(cat.Queues))
 	cat.hosts = map[string][]*Queue{}
@@ -107,7 +119,7 @@
 		acc := &cat.Accounts[i]
 		cat.accounts[acc.Name] = acc
 		for _, key := range acc.Keys {
-			// A call without a key belongs to nobody.
+			// A call without a key must not match any account.
 			if key != "" {
 				cat.keys[key] = acc
 			}
@@ -116,20 +128,20 @@
 	return cat
 }
 
-// Queue returns the queue with a name, or nil.
+// Queue returns the queue with the given name, or nil.
 func (cat Catalog) Queue(name string) *Queue { return cat.queues[name] }
 
-// Pool returns the pool with a name, or nil.
+// Pool returns the pool with the given name, or nil.
 func (cat Catalog) Pool(name string) *Pool { return cat.pools[name] }
 
-// Account returns the client account with a name, or nil.
+// Account returns the client account with the given name, or nil.
 func (cat Catalog) Account(name string) *Account { return cat.accounts[name] }
 
-// AccountOf returns the client account that a key belongs to, or nil.
+// AccountOf returns the client account that the key belongs to, or nil.
 func (cat Catalog) AccountOf(key string) *Account { return cat.keys[key] }
 
-// Match returns the queue of a host whose prefix is the longest that a path
-// begins with, or nil.
+// Match returns the queue of the host with the longest prefix that matches the
+// path, or nil.
 func (cat Catalog) Match(host, path string) *Queue {
 	var best *Queue
 	for _, que := range cat.hosts[strings.ToLower(host)] {
@@ -140,7 +152,7 @@
 	return best
 }
 
-// NeedsAdvice reports whether some queue's steps need advice.
+// NeedsAdvice reports whether any queue needs the advisor.
 func (cat Catalog) NeedsAdvice() bool {
 	return slices.ContainsFunc(cat.Queues, func(que Queue) bool { return que.Advice != nil })
 }
