--- a/internal/core/duty/duty.go
+++ b/internal/core/duty/duty.go
@@ -1,7 +1,12 @@
-// Package duty holds the right to dispatch: one process has it at a time, by a
-// key in the store that a lease removes. Each holder has a higher term.
+// Package duty defines the records and transactions by which processes elect the
+// dispatcher.
 //
-// A Tenure is pure: the time is an argument of each method.
+// The duty is the exclusive right to dispatch. It is held by one process at a
+// time, by means of a key in the store that is attached to a lease and removed
+// when the lease expires. The term is the fencing token of the duty: each holder
+// has a higher term than the one before. A tenure is the time for which one
+// process holds the duty. The package does no I/O and reads no clock: the current
+// time is passed to each method.
 package duty
 
 import (
@@ -12,34 +17,36 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Keys of the duty in the store.
+// Store keys of the duty.
 const (
 	// HolderKey exists while a process holds the duty.
 	HolderKey = "duty/holder"
-	// TermKey holds the latest term. It is never removed.
+	// TermKey holds the latest term. It is never deleted, so that terms only
+	// increase.
 	TermKey = "duty/term"
 )
 
-// Times of the lease.
+// Lease times.
 const (
-	// TTL is how long a holder that vanished keeps the duty. The store grants
-	// no less than a second.
+	// TTL is the time to live of the lease, after which a holder that vanished
+	// loses the duty. The store grants no lease shorter than a second.
 	TTL = 1500 * time.Millisecond
-	// RenewInterval is the time between two renewals.
+	// RenewInterval is the time between two renewals of the lease.
 	RenewInterval = 350 * time.Millisecond
-	// safety is how much sooner than the store a holder considers its lease
-	// ended, for clocks that differ by some percent.
-	safety = 100 * time.Millisecond
+	// expiryMargin is the time by which a holder considers its lease expired
+	// before the store does. It allows for clocks whose rates differ by a few
+	// percent.
+	expiryMargin = 100 * time.Millisecond
 )
 
-// Holder is what the store says of a holder.
+// Holder is the stored record of the duty's holder.
 type Holder struct {
 	Name    string `msgpack:"n"`
 	Term    int64  `msgpack:"t"`
 	Address string `msgpack:"a"`
 }
 
-// Encode returns the value for the store.
+// Encode returns the record as it is stored.
 func (hol Holder) Encode() (raw []byte, err error) {
 	raw, err = msgpack.Marshal(&hol)
 	if err != nil {
@@ -48,7 +55,7 @@
 	return raw, nil
 }
 
-// DecodeHolder decodes a holder.
+// DecodeHolder decodes a record that was encoded by Holder.Encode.
 func DecodeHolder(raw []byte) (hol Holder, err error) {
 	if err = msgpack.Unmarshal(raw, &hol); err != nil {
 		return Holder{}, fmt.Errorf("decode holder: %w", err)
@@ -56,37 +63,42 @@
 	return hol, nil
 }
 
-// Tenure is the time for which a process holds the duty. It is immutable.
+// Tenure is the time for which one process holds the duty. It is immutable.
 type Tenure struct {
 	Holder Holder
 	Lease  kv.LeaseID
-	// Since is when the duty was taken; Revision is that of the holder's key,
-	// the condition of all writes of the holder.
-	Since    time.Time
+	// Since is the time at which the process acquired the duty.
+	Since time.Time
+	// Revision is the revision of HolderKey. All writes of the holder are
+	// conditional on it.
 	Revision kv.Revision
-	// until is when the lease ends unless it is renewed, counted from before the
-	// last renewal was sent.
-	until time.Time
+	// expires is the time at which the lease expires unless it is renewed. It is
+	// computed from the time at which the last renewal was sent, as the store may
+	// have received it at any time after that.
+	expires time.Time
 }
 
-// NewTenure returns the tenure of a holder whose lease was asked for at a time.
+// NewTenure returns the tenure that starts now, of a holder whose request for the
+// lease was sent at leaseSent.
 func NewTenure(hol Holder, lea kv.LeaseID, rev kv.Revision, leaseSent, now time.Time) Tenure {
-	return Tenure{Holder: hol, Lease: lea, Since: now, Revision: rev, until: leaseSent.Add(TTL - safety)}
+	return Tenure{Holder: hol, Lease: lea, Since: now, Revision: rev, expires: leaseSent.Add(TTL - expiryMargin)}
 }
 
-// Holds reports whether the process surely holds the duty.
-func (ten Tenure) Holds(now time.Time) bool { return now.Before(ten.until) }
+// Holds reports whether the process is guaranteed to hold the duty.
+func (ten Tenure) Holds(now time.Time) bool { return now.Before(ten.expires) }
 
-// WithRenewal returns the tenure after a renewal that was sent at a time.
+// WithRenewal returns the tenure after a successful renewal that was sent at the
+// given time.
 func (ten Tenure) WithRenewal(sent time.Time) Tenure {
-	if until := sent.Add(TTL - safety); until.After(ten.until) {
-		ten.until = until
+	if expires := sent.Add(TTL - expiryMargin); expires.After(ten.expires) {
+		ten.expires = expires
 	}
 	return ten
 }
 
-// Claim returns the transaction by which a process takes the duty. prior is the
-// term's item as read.
+// Claim returns the transaction by which a process acquires the duty. It fails
+// if another process holds the duty or if TermKey has changed since prior was
+// read from it.
 func Claim(hol Holder, lea kv.LeaseID, prior kv.Item) (txn kv.Txn, err error) {
 	value, err := hol.Encode()
 	if err != nil {
@@ -98,7 +110,8 @@
 	}, nil
 }
 
-// NextTerm returns the term after the one that is stored.
+// NextTerm returns the term that follows the stored one. prior is the item read
+// from TermKey.
 func NextTerm(prior kv.Item) (term int64, err error) {
 	if prior.Revision == 0 {
 		return 1, nil
