--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -1,5 +1,11 @@
-// Package upkeep plans waves of upkeep: which machine goes down next, so that
-// few are down at once and no step loses more tasks than it may miss.
+// Package upkeep plans waves: it decides which machine goes down for maintenance
+// next.
+//
+// Upkeep is the maintenance of a machine, which ends all that runs on it. A wave
+// is a batch of machines whose upkeep is to be done within a time. The plan
+// limits the number of machines that are down at the same time, and keeps each
+// long-running step within its availability budget: the number of its tasks that
+// may be unavailable at the same time (MayMiss).
 package upkeep
 
 import (
@@ -8,27 +14,29 @@
 	"time"
 )
 
-// Wave asks for the upkeep of machines within a time. It is immutable.
+// Wave is an operator's request for the upkeep of machines within a duration. It
+// is immutable.
 type Wave struct {
 	Number   int64
 	Machines []string
 	Duration time.Duration
-	// Cap is how many of them may be down for upkeep at once; at least 1.
+	// Cap is the maximum number of the machines that may be down for upkeep at the
+	// same time; at least 1.
 	Cap int
-	// Revision is the store's revision at which the operator asked.
+	// Revision is the revision of the store at which the request was made.
 	Revision int64
 }
 
-// Plan is a wave with how far it has got. It is immutable.
+// Plan is a wave and its progress. It is immutable.
 type Plan struct {
 	Wave Wave
-	// RequestedAt is when this process learned of the wave.
+	// RequestedAt is the time at which this process received the request.
 	RequestedAt time.Time
-	// Begun holds the machines whose upkeep has begun.
+	// Begun is the set of machines whose upkeep has begun.
 	Begun map[string]bool
 }
 
-// WithBegun returns the plan after a machine's upkeep has begun.
+// WithBegun returns the plan after the upkeep of a machine has begun.
 func (pla Plan) WithBegun(machine string) Plan {
 	begun := make(map[string]bool, len(pla.Begun)+1)
 	for name := range pla.Begun {
@@ -39,49 +47,56 @@
 	return pla
 }
 
-// Completed reports whether the upkeep of every machine that stays has begun.
-func (pla Plan) Completed(exists func(machine string) bool) bool {
+// Completed reports whether upkeep has begun on every machine of the wave that
+// the platform still lists.
+func (pla Plan) Completed(listed func(machine string) bool) bool {
 	for _, name := range pla.Wave.Machines {
-		if !pla.Begun[name] && exists(name) {
+		if !pla.Begun[name] && listed(name) {
 			return false
 		}
 	}
 	return true
 }
 
-// StepShare is what a machine holds of a step that lasts.
+// StepShare describes the tasks of one long-running step from the viewpoint of a
+// machine.
 type StepShare struct {
-	// Local is how many of the step's tasks at work the machine holds; Unavailable is
-	// how many others are not at work; MayMiss is how many may be away.
+	// Local is the number of working tasks on the machine. Unavailable is the
+	// number of tasks of the step that are not working. MayMiss is the
+	// availability budget: the maximum number of tasks that may be unavailable; 0
+	// means no limit.
 	Local, Unavailable, MayMiss int
 }
 
-// ExceedsBudget reports whether ending the tasks here would leave too many away.
+// ExceedsBudget reports whether ending the tasks on the machine would exceed the
+// step's availability budget.
 func (sha StepShare) ExceedsBudget() bool {
 	return sha.MayMiss > 0 && sha.Local > 0 && sha.Unavailable+sha.Local > sha.MayMiss
 }
 
-// NeedsRelocation reports whether one of the tasks here should go elsewhere first, for
-// the machine holds more of them than may be away at once.
+// NeedsRelocation reports whether one of the tasks on the machine should move to
+// another machine first, because the machine runs more of them than the
+// availability budget allows to end together.
 func (sha StepShare) NeedsRelocation() bool {
 	return sha.MayMiss > 0 && sha.Local > sha.MayMiss && sha.Unavailable < sha.MayMiss
 }
 
-// Candidate is a machine that may go down.
+// Candidate is a machine whose upkeep has yet to begin.
 type Candidate struct {
 	Machine string
-	// Up says that the machine is up and not leaving.
+	// Up is set if the machine is up and its VM is not shutting down.
 	Up bool
-	// LostWork is the core-seconds of unsaved work that its upkeep would end.
+	// LostWork is the unsaved work, in core-seconds, that upkeep would discard.
 	LostWork float64
-	// Remaining is the longest time that a task there is thought to need yet.
+	// Remaining is the longest estimated remaining run time of the tasks on the
+	// machine.
 	Remaining time.Duration
-	// StepShares holds its tasks that last, by step.
+	// StepShares describes the long-running steps with tasks on the machine.
 	StepShares []StepShare
 }
 
-// ExceedsBudget reports whether the machine's upkeep would leave too many tasks of a
-// step away.
+// ExceedsBudget reports whether upkeep of the machine would exceed the
+// availability budget of any step.
 func (can Candidate) ExceedsBudget() bool {
 	for _, sha := range can.StepShares {
 		if sha.ExceedsBudget() {
@@ -91,23 +106,30 @@
 	return false
 }
 
-// Actions is what to do next for a wave.
+// Actions holds the next actions for a wave.
 type Actions struct {
-	// Cordon lists the machines that get no new tasks.
+	// Cordon lists the machines that must not get new tasks.
 	Cordon []string
-	// Relocate lists the machines from which tasks that last go elsewhere.
+	// Relocate lists the machines from which long-running tasks must move to other
+	// machines.
 	Relocate []string
-	// Begin lists the machines whose upkeep begins now.
+	// Begin lists the machines whose upkeep may begin now.
 	Begin []string
 }
 
-// reserveShare is the part of a wave's duration that is kept in reserve, for
-// the upkeep of its last machines and for faults.
+// reserveShare is the fraction of a wave's duration that is kept in reserve for
+// the upkeep of the last machines and for faults.
 const reserveShare = 0.15
 
-// Next plans the next step of a wave. down is how many of its machines are
-// down for upkeep; each takes about the span.
-func (pla Plan) Next(now time.Time, cans []Candidate, down int, span time.Duration) Actions {
+// Next returns the next actions for a wave. cans are the machines whose upkeep
+// has yet to begin, down is the number of the wave's machines that are down for
+// upkeep, and machineTime is the expected upkeep time of a machine.
+//
+// Machines whose upkeep keeps within the availability budgets go first, then
+// those with the shortest remaining run time and the least work to lose. A
+// machine with unsaved work is only cordoned, to let its tasks finish, until the
+// wave would otherwise be late.
+func (pla Plan) Next(now time.Time, cans []Candidate, down int, machineTime time.Duration) Actions {
 	free := pla.Wave.Cap - down
 	if free <= 0 || len(cans) == 0 {
 		return Actions{}
@@ -123,9 +145,9 @@
 		return cmp.Or(cmp.Compare(one.Remaining, oth.Remaining), cmp.Compare(one.LostWork, oth.LostWork), cmp.Compare(one.Machine, oth.Machine))
 	})
 	usable := time.Duration(float64(pla.Wave.Duration) * (1 - reserveShare))
-	rounds := (len(cans) + pla.Wave.Cap - 1) / pla.Wave.Cap
-	late := now.Add(time.Duration(rounds) * span).After(pla.RequestedAt.Add(usable))
-	var stp Actions
+	batches := (len(cans) + pla.Wave.Cap - 1) / pla.Wave.Cap
+	late := now.Add(time.Duration(batches) * machineTime).After(pla.RequestedAt.Add(usable))
+	var act Actions
 	for _, can := range cans {
 		if free == 0 {
 			break
@@ -134,13 +156,13 @@
 			continue
 		}
 		free--
-		stp.Cordon = append(stp.Cordon, can.Machine)
+		act.Cordon = append(act.Cordon, can.Machine)
 		if slices.ContainsFunc(can.StepShares, StepShare.NeedsRelocation) {
-			stp.Relocate = append(stp.Relocate, can.Machine)
+			act.Relocate = append(act.Relocate, can.Machine)
 		}
 		if !can.ExceedsBudget() && (can.LostWork == 0 || late) {
-			stp.Begin = append(stp.Begin, can.Machine)
+			act.Begin = append(act.Begin, can.Machine)
 		}
 	}
-	return stp
+	return act
 }
--- a/internal/core/upkeep/wave_test.go
+++ b/internal/core/upkeep/wave_test.go
@@ -7,45 +7,48 @@
 	"gotest.tools/v3/assert"
 )
 
-var asked = time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
+var requested = time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 
 func plan(machineCap int) Plan {
-	return Plan{Wave: Wave{Number: 1, Machines: []string{"a", "b", "c"}, Duration: 20 * time.Second, Cap: machineCap}, RequestedAt: asked}
+	return Plan{Wave: Wave{Number: 1, Machines: []string{"a", "b", "c"}, Duration: 20 * time.Second, Cap: machineCap}, RequestedAt: requested}
 }
 
-// TestIdleMachinesFirst takes the machines that run nothing before others, and
-// no more than the cap.
+// TestIdleMachinesFirst checks that upkeep begins on idle machines before others,
+// and that no more machines are down than the cap allows.
 func TestIdleMachinesFirst(t *testing.T) {
 	cans := []Candidate{
 		{Machine: "a", Up: true, LostWork: 3, Remaining: time.Second},
 		{Machine: "b", Up: true},
 		{Machine: "c", Up: true},
 	}
-	assert.DeepEqual(t, plan(2).Next(asked, cans, 0, 2*time.Second), Actions{Cordon: []string{"b", "c"}, Begin: []string{"b", "c"}})
-	assert.DeepEqual(t, plan(2).Next(asked, cans, 1, 2*time.Second), Actions{Cordon: []string{"b"}, Begin: []string{"b"}})
-	assert.DeepEqual(t, plan(2).Next(asked, cans, 2, 2*time.Second), Actions{})
+	assert.DeepEqual(t, plan(2).Next(requested, cans, 0, 2*time.Second), Actions{Cordon: []string{"b", "c"}, Begin: []string{"b", "c"}})
+	assert.DeepEqual(t, plan(2).Next(requested, cans, 1, 2*time.Second), Actions{Cordon: []string{"b"}, Begin: []string{"b"}})
+	assert.DeepEqual(t, plan(2).Next(requested, cans, 2, 2*time.Second), Actions{})
 }
 
-// TestRunningTasksMayEnd waits for tasks that end, until the wave would be late.
-func TestRunningTasksMayEnd(t *testing.T) {
+// TestWaitForRunningTasks checks that a machine is cordoned while its tasks finish,
+// and that its upkeep begins once the wave would otherwise be late.
+func TestWaitForRunningTasks(t *testing.T) {
 	cans := []Candidate{{Machine: "a", Up: true, LostWork: 3, Remaining: time.Second}}
-	assert.DeepEqual(t, plan(1).Next(asked, cans, 0, 2*time.Second), Actions{Cordon: []string{"a"}})
-	late := asked.Add(16 * time.Second)
+	assert.DeepEqual(t, plan(1).Next(requested, cans, 0, 2*time.Second), Actions{Cordon: []string{"a"}})
+	late := requested.Add(16 * time.Second)
 	assert.DeepEqual(t, plan(1).Next(late, cans, 0, 2*time.Second), Actions{Cordon: []string{"a"}, Begin: []string{"a"}})
 }
 
-// TestSiblingsOnOneMachine is a machine with two tasks of a step of which one
-// may be away: one of them goes elsewhere before the upkeep.
-func TestSiblingsOnOneMachine(t *testing.T) {
+// TestRelocateBeforeUpkeep checks a machine with two tasks of a step whose
+// availability budget is one: one task is relocated and available again before
+// upkeep begins.
+func TestRelocateBeforeUpkeep(t *testing.T) {
 	two := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 2, Unavailable: 0, MayMiss: 1}}}}
-	assert.DeepEqual(t, plan(1).Next(asked, two, 0, 2*time.Second), Actions{Cordon: []string{"a"}, Relocate: []string{"a"}})
-	away := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 1, MayMiss: 1}}}}
-	assert.DeepEqual(t, plan(1).Next(asked, away, 0, 2*time.Second), Actions{Cordon: []string{"a"}})
-	back := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 0, MayMiss: 1}}}}
-	assert.DeepEqual(t, plan(1).Next(asked, back, 0, 2*time.Second), Actions{Cordon: []string{"a"}, Begin: []string{"a"}})
+	assert.DeepEqual(t, plan(1).Next(requested, two, 0, 2*time.Second), Actions{Cordon: []string{"a"}, Relocate: []string{"a"}})
+	unavailable := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 1, MayMiss: 1}}}}
+	assert.DeepEqual(t, plan(1).Next(requested, unavailable, 0, 2*time.Second), Actions{Cordon: []string{"a"}})
+	available := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 0, MayMiss: 1}}}}
+	assert.DeepEqual(t, plan(1).Next(requested, available, 0, 2*time.Second), Actions{Cordon: []string{"a"}, Begin: []string{"a"}})
 }
 
-// TestCompleted counts machines that are gone as done.
+// TestCompleted checks that machines that the platform no longer lists do not
+// hold up the completion of a wave.
 func TestCompleted(t *testing.T) {
 	pla := plan(1).WithBegun("a").WithBegun("b")
 	assert.Assert(t, !pla.Completed(func(string) bool { return true }))
