--- a/internal/core/pace/pace.go
+++ b/internal/core/pace/pace.go
@@ -1,43 +1,48 @@
-// Package pace decides how fast tasks that fill may work beside tasks that
-// serve, from the tails of the latter's response times.
+// Package pace controls the speed of best-effort tasks that share a VM with
+// serving tasks. The pace is the percentage of its full speed at which a
+// best-effort task may work. It is cut when the tail latency of a serving task
+// comes near its target, and raised again when there is headroom.
 package pace
 
 import "time"
 
-// Full is the pace of a task that nothing holds back, in percent.
+// Full is the pace of an unthrottled task, in percent.
 const Full = 100
 
-// Bounds of the control.
+// Parameters of the controller.
 const (
-	// highRatio is the part of a target above which the pace is cut; a tail that
-	// is over its target for seconds breaks a promise.
+	// highRatio is the ratio of tail latency to target above which the pace is
+	// cut. It is below 1 because a tail latency above its target for seconds
+	// violates the latency objective.
 	highRatio = 0.8
-	// lowRatio is the part of a target below which the pace may rise.
+	// lowRatio is the ratio of tail latency to target below which the pace may
+	// rise.
 	lowRatio = 0.6
-	// cutFactor is what the pace is multiplied by in a cut.
+	// cutFactor is the factor by which a cut multiplies the pace.
 	cutFactor = 0.5
-	// raiseStep is what the pace rises by at a time, in percent.
-	raiseStep = 10
-	// minPace is below this the pace is set to nothing, in percent.
-	minPace = 10
-	// settleTime is how long a change takes to show in the tails: the platform
-	// measures them over half a second.
+	// raisePercent is the amount by which one raise increases the pace.
+	raisePercent = 10
+	// minPercent is the lowest pace above 0; a cut below it pauses the tasks.
+	minPercent = 10
+	// settleTime is the time after a change before the pace may change again. The
+	// platform measures tail latency over half a second, so a change shows only
+	// after that.
 	settleTime = 700 * time.Millisecond
 )
 
-// Control is the pace of one VM's tasks that fill. It is immutable.
+// Control holds the pace of one VM's best-effort tasks. It is immutable.
 type Control struct {
-	// Percent is the present pace, from 0 to Full.
+	// Percent is the current pace, from 0 to Full.
 	Percent int
-	// Changed is when it last changed.
+	// Changed is the time of the last change of the pace.
 	Changed time.Time
 }
 
-// NewControl returns a control that holds nothing back.
+// NewControl returns a control at full pace.
 func NewControl() Control { return Control{Percent: Full} }
 
-// WithTailRatio returns the control after a look: the highest ratio of a tail to its
-// target on the VM.
+// WithTailRatio returns the control after a poll of the VM. ratio is the highest
+// ratio of tail latency to target of the VM's serving tasks.
 func (con Control) WithTailRatio(now time.Time, ratio float64) Control {
 	if now.Sub(con.Changed) < settleTime {
 		return con
@@ -45,12 +50,12 @@
 	switch {
 	case ratio > highRatio && con.Percent > 0:
 		con.Percent = int(float64(con.Percent) * cutFactor)
-		if con.Percent < minPace || ratio > 1 {
+		if con.Percent < minPercent || ratio > 1 {
 			con.Percent = 0
 		}
 		con.Changed = now
 	case ratio < lowRatio && con.Percent < Full:
-		con.Percent = min(Full, con.Percent+raiseStep)
+		con.Percent = min(Full, con.Percent+raisePercent)
 		con.Changed = now
 	}
 	return con
