--- a/internal/core/allowance/bucket.go
+++ b/internal/core/allowance/bucket.go
@@ -1,30 +1,31 @@
-// Package allowance counts what client accounts submit against the rate that
-// they are entitled to when a pool is full.
+// Package allowance meters the jobs of a client account against the rate that the
+// account is entitled to when a pool is full.
 package allowance
 
 import "time"
 
-// Bucket holds what an account may submit at once. The zero Bucket is full. It is
-// immutable.
+// Bucket is the leaky bucket of one account. The zero Bucket has its full burst
+// allowance left. It is immutable.
 type Bucket struct {
-	// spent is how many jobs are still counted at a time; it sinks with the rate.
-	spent float64
-	at    time.Time
+	// spent is the number of jobs in the bucket at the time updated. It drains at
+	// the account's rate.
+	spent   float64
+	updated time.Time
 }
 
-// WithJob returns the bucket after a job of an account that is entitled to a
-// number of jobs a second, averaged over a window, and reports whether the job
-// lies within that. A rate of 0 is no bound.
+// WithJob returns the bucket after a job was submitted, and reports whether the
+// job is within the account's allowance: rate jobs per second, averaged over
+// window. A job beyond the allowance is not counted. A rate of 0 means no limit.
 func (buc Bucket) WithJob(now time.Time, rate float64, window time.Duration) (after Bucket, within bool) {
 	if rate <= 0 {
 		return buc, true
 	}
 	spent := buc.spent
-	if !buc.at.IsZero() {
-		spent = max(0, spent-rate*now.Sub(buc.at).Seconds())
+	if !buc.updated.IsZero() {
+		spent = max(0, spent-rate*now.Sub(buc.updated).Seconds())
 	}
 	if spent+1 > max(1, rate*window.Seconds()) {
-		return Bucket{spent: spent, at: now}, false
+		return Bucket{spent: spent, updated: now}, false
 	}
-	return Bucket{spent: spent + 1, at: now}, true
+	return Bucket{spent: spent + 1, updated: now}, true
 }
--- a/internal/core/allowance/bucket_test.go
+++ b/internal/core/allowance/bucket_test.go
@@ -10,9 +10,9 @@
 
 const window = 5 * time.Second
 
-// TestWithinTheRate never counts a job as beyond the rate while the account keeps
-// to it.
-func TestWithinTheRate(t *testing.T) {
+// TestWithinRate checks that no job is counted as beyond the allowance while the
+// account keeps to its rate.
+func TestWithinRate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var buc Bucket
 	for range 200 {
@@ -22,12 +22,12 @@
 		now = now.Add(250 * time.Millisecond)
 	}
 	_, within := buc.WithJob(now, 0, window)
-	assert.Assert(t, within, "an account without a rate has no bound")
+	assert.Assert(t, within, "an account without a rate has no limit")
 }
 
-// TestBeyondTheRate lets no more jobs through than the rate allows over a span and
-// one window, whatever their times.
-func TestBeyondTheRate(t *testing.T) {
+// TestBeyondRate checks that, for any arrival times, no more jobs are within the
+// allowance than the rate permits over the time span plus one window.
+func TestBeyondRate(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		rate := float64(rapid.IntRange(1, 20).Draw(rt, "rate"))
 		now := time.Unix(1000, 0)
@@ -42,7 +42,7 @@
 			}
 		}
 		if most := rate*(span+window).Seconds() + 1; float64(count) > most {
-			rt.Fatalf("%d jobs within the rate, at most %v", count, most)
+			rt.Fatalf("%d jobs are within the allowance, want at most %v", count, most)
 		}
 	})
 }
