--- a/internal/core/rebalance/rebalance.go
+++ b/internal/core/rebalance/rebalance.go
@@ -1,6 +1,7 @@
-// Package rebalance decides which machines move between pools. Moves cost about as
-// much as a second of a machine and take the machine away for longer, so that
-// only empty machines move, to pools that lack room or to standby.
+// Package rebalance decides which machines move between pools. A move costs about
+// as much as one second of machine time and makes the machine unavailable for
+// longer than that. Therefore only idle machines move, either to a pool that
+// needs more machines or to standby.
 package rebalance
 
 import (
@@ -9,52 +10,52 @@
 	"time"
 )
 
-// Pool is a pool with what it needs.
+// Pool describes the machines and the demand of a pool.
 type Pool struct {
 	Name string
-	// Standby pools run nothing; their machines cost nothing.
+	// Standby is set if the pool's machines run nothing and cost nothing.
 	Standby bool
-	// Have is how many machines run tasks for the pool or are on their way to
-	// it.
+	// Have is the number of machines that run tasks for the pool or are being
+	// moved to it.
 	Have int
-	// Want is how many it needs now; Keep is how many it needed at most of late,
-	// and at least Want.
+	// Want is the number of machines that the pool needs now. Keep is the highest
+	// number that it needed recently; it is never below Want.
 	Want, Keep int
-	// Empty lists its machines that run nothing, the longest idle first.
+	// Empty lists the pool's idle machines, those idle for longest first.
 	Empty []IdleMachine
 }
 
-// IdleMachine is a machine that runs nothing.
+// IdleMachine is a machine that runs no tasks.
 type IdleMachine struct {
 	Machine string
-	// IdleFor is how long it has run nothing.
+	// IdleFor is the time for which the machine has been idle.
 	IdleFor time.Duration
 }
 
-// Move moves a machine to a pool.
+// Move is the move of a machine from one pool to another.
 type Move struct {
 	Machine string
 	From    string
 	To      string
 }
 
-// restAfter is how long a machine runs nothing before it goes to standby. The
-// move there and back costs as much as the machine does in a little over two
-// seconds.
-const restAfter = 2 * time.Second
+// standbyAfter is the time for which a machine must be idle before it moves to
+// standby. Moving there and back costs as much as a little over two seconds of
+// machine time.
+const standbyAfter = 2 * time.Second
 
-// Plan returns the moves that bring the pools to what they need, at most a
-// number of them. allowed says whether a machine may be in a pool.
-//
-// spare is how many machines may go to standby at most.
-func Plan(pools []Pool, most, spare int, allowed func(machine, pool string) bool) (moves []Move) {
+// Plan returns at most maxMoves moves that bring the pools closer to the number
+// of machines that they need. At most maxStandby of them go to standby. allowed
+// reports whether a machine may be in a pool. Pools with the largest deficit are
+// served first.
+func Plan(pools []Pool, maxMoves, maxStandby int, allowed func(machine, pool string) bool) (moves []Move) {
 	pools = slices.Clone(pools)
 	slices.SortStableFunc(pools, func(one, oth Pool) int {
 		return cmp.Or(cmp.Compare(oth.Want-oth.Have, one.Want-one.Have), cmp.Compare(one.Name, oth.Name))
 	})
 	for i := range pools {
-		for pools[i].Have < pools[i].Want && len(moves) < most && !pools[i].Standby {
-			mov, ok := take(pools, pools[i].Name, allowed)
+		for pools[i].Have < pools[i].Want && len(moves) < maxMoves && !pools[i].Standby {
+			mov, ok := takeMachine(pools, pools[i].Name, allowed)
 			if !ok {
 				break
 			}
@@ -62,12 +63,13 @@
 			pools[i].Have++
 		}
 	}
-	return append(moves, rests(pools, min(spare, most-len(moves)), allowed)...)
+	return append(moves, toStandby(pools, min(maxStandby, maxMoves-len(moves)), allowed)...)
 }
 
-// take finds a machine for a pool: one of a pool that has more than it keeps,
-// which is up and running already, or one on standby.
-func take(pools []Pool, to string, allowed func(machine, pool string) bool) (mov Move, ok bool) {
+// takeMachine removes an idle machine from another pool and returns its move to
+// the pool to. Machines of pools with more machines than they keep are preferred
+// to those on standby, as they are already running.
+func takeMachine(pools []Pool, to string, allowed func(machine, pool string) bool) (mov Move, ok bool) {
 	for _, standby := range []bool{false, true} {
 		for i := range pools {
 			src := &pools[i]
@@ -87,8 +89,9 @@
 	return Move{}, false
 }
 
-// rests moves machines to standby that their pools don't keep.
-func rests(pools []Pool, most int, allowed func(machine, pool string) bool) (moves []Move) {
+// toStandby returns at most limit moves of idle machines to standby, from pools
+// with more machines than they keep.
+func toStandby(pools []Pool, limit int, allowed func(machine, pool string) bool) (moves []Move) {
 	standby := slices.IndexFunc(pools, func(poo Pool) bool { return poo.Standby })
 	if standby < 0 {
 		return nil
@@ -100,10 +103,10 @@
 			continue
 		}
 		for _, idl := range src.Empty {
-			if len(moves) >= most || src.Have <= src.Keep {
+			if len(moves) >= limit || src.Have <= src.Keep {
 				break
 			}
-			if idl.IdleFor < restAfter || !allowed(idl.Machine, to) {
+			if idl.IdleFor < standbyAfter || !allowed(idl.Machine, to) {
 				continue
 			}
 			src.Have--
--- a/internal/core/rebalance/rebalance_test.go
+++ b/internal/core/rebalance/rebalance_test.go
@@ -16,9 +16,9 @@
 	return all
 }
 
-// TestTurnOfDemand moves the machines that the last turn left empty to the pool
-// whose turn it is, before those on standby.
-func TestTurnOfDemand(t *testing.T) {
+// TestDemandShift checks that when demand shifts from one pool to another, the
+// machines that fell idle move before those on standby.
+func TestDemandShift(t *testing.T) {
 	pools := []Pool{
 		{Name: "cooling", Have: 6, Want: 2, Keep: 4, Empty: idle(time.Second, "a", "b", "c", "d")},
 		{Name: "hot", Have: 2, Want: 7, Keep: 7},
@@ -30,8 +30,9 @@
 	assert.Equal(t, len(Plan(pools, 1, 10, anywhere)), 1)
 }
 
-// TestLargestLackFirst serves the pool that lacks most.
-func TestLargestLackFirst(t *testing.T) {
+// TestLargestDeficitFirst checks that the pool with the largest deficit gets the
+// machine.
+func TestLargestDeficitFirst(t *testing.T) {
 	pools := []Pool{
 		{Name: "little", Have: 2, Want: 3, Keep: 3},
 		{Name: "much", Have: 2, Want: 9, Keep: 9},
@@ -40,9 +41,9 @@
 	assert.DeepEqual(t, Plan(pools, 10, 10, anywhere), []Move{{"s", "standby", "much"}})
 }
 
-// TestRest sends machines to standby that have been idle for long, as many as
-// all pools together can spare.
-func TestRest(t *testing.T) {
+// TestIdleToStandby checks that machines that have been idle for long enough move
+// to standby, and no more of them than the given limit.
+func TestIdleToStandby(t *testing.T) {
 	pools := []Pool{
 		{Name: "calm", Have: 6, Want: 2, Keep: 3, Empty: append(idle(5*time.Second, "a", "b"), idle(time.Second, "c")...)},
 		{Name: "standby", Standby: true},
@@ -52,8 +53,9 @@
 	assert.Equal(t, len(Plan(pools, 10, 0, anywhere)), 0)
 }
 
-// TestBarredMoves leaves out machines that the platform doesn't allow in a pool.
-func TestBarredMoves(t *testing.T) {
+// TestDisallowedMoves checks that a machine does not move to a pool in which it is
+// not allowed.
+func TestDisallowedMoves(t *testing.T) {
 	pools := []Pool{
 		{Name: "hot", Have: 2, Want: 4, Keep: 4},
 		{Name: "standby", Standby: true, Have: 2, Empty: idle(0, "s", "t")},
