--- a/internal/core/priority/priority.go
+++ b/internal/core/priority/priority.go
@@ -1,4 +1,4 @@
-// Package priority orders steps that wait for room in a pool.
+// Package priority orders the steps that wait for free capacity in a pool.
 package priority
 
 import (
@@ -6,64 +6,71 @@
 	"time"
 )
 
-// Key is what a step that waits brings to the order.
+// Key is the sort key of a waiting step.
 type Key struct {
-	// IsLongRunning says that the tasks run until their job is cancelled.
+	// IsLongRunning is set if the tasks run until their job is cancelled.
 	IsLongRunning bool
-	// Excess says that the job lies beyond what its client account is entitled to.
+	// Excess is set if the job exceeds the allowance of its client account.
 	Excess bool
-	// Priority is the queue's; 0 comes first.
+	// Priority is the priority of the queue; lower values come first.
 	Priority int
-	// Deadline is when the job must have ended to be of full worth.
+	// Deadline is the time by which the job must end to meet its latency
+	// objective.
 	Deadline time.Time
-	// Remaining is how long the job needs yet, if it gets room at once.
+	// Remaining is the remaining run time of the job if it gets capacity
+	// immediately.
 	Remaining time.Duration
-	// Work is the core-seconds that the job needs yet.
+	// Work is the remaining work of the job in core-seconds.
 	Work float64
-	// Job breaks ties.
+	// Job is the ID of the job. It breaks ties.
 	Job string
 }
 
-// CanMeetDeadline reports whether the job can still end in time.
-func (bid Key) CanMeetDeadline(now time.Time) bool {
-	return !now.Add(bid.Remaining).After(bid.Deadline)
+// CanMeetDeadline reports whether the job can still end by its deadline.
+func (key Key) CanMeetDeadline(now time.Time) bool {
+	return !now.Add(key.Remaining).After(key.Deadline)
 }
 
-// class groups bids.
+// class is the primary sort criterion of waiting steps, the most urgent first.
 type class int
 
 const (
-	classLasting class = iota
-	classTimely
-	// classExcess is timely beyond an account's entitlement.
+	classLongRunning class = iota
+	classOnTime
+	// classExcess is for jobs that can meet their deadline but exceed the
+	// allowance of their account.
 	classExcess
 	classLate
 	classLateExcess
 )
 
-func (bid Key) class(now time.Time) class {
-	switch timely := bid.CanMeetDeadline(now); {
-	case bid.IsLongRunning:
-		return classLasting
-	case timely && !bid.Excess:
-		return classTimely
-	case timely:
+func (key Key) class(now time.Time) class {
+	switch onTime := key.CanMeetDeadline(now); {
+	case key.IsLongRunning:
+		return classLongRunning
+	case onTime && !key.Excess:
+		return classOnTime
+	case onTime:
 		return classExcess
-	case !bid.Excess:
+	case !key.Excess:
 		return classLate
 	default:
 		return classLateExcess
 	}
 }
 
-// Compare is negative if a bid comes before another one. What lasts comes first,
-// then what can be in time by its deadline, then what is late by its work.
+// Compare returns a negative number if one comes before oth, and a positive
+// number if it comes after. Long-running steps come first, then steps of jobs
+// that can meet their deadline, by deadline, then those of late jobs, by
+// remaining work. Among the jobs that can meet their deadline, and among the late
+// ones, those that exceed their account's allowance come last. Within a class,
+// the queue's priority takes precedence over deadline and work.
 func Compare(now time.Time, one, oth Key) int {
-	kind := one.class(now)
-	if ord := cmp.Or(cmp.Compare(kind, oth.class(now)), cmp.Compare(one.Priority, oth.Priority)); ord != 0 {
+	cls := one.class(now)
+	if ord := cmp.Or(cmp.Compare(cls, oth.class(now)), cmp.Compare(one.Priority, oth.Priority)); ord != 0 {
 		return ord
 	}
-	if kind >= classLate {
+	if cls >= classLate {
 		if ord := cmp.Compare(one.Work, oth.Work); ord != 0 {
 			return ord
 		}
