--- a/internal/core/vm/vm.go
+++ b/internal/core/vm/vm.go
@@ -1,5 +1,8 @@
-// Package vm describes the VMs of the pools as the platform lists them, with
-// what the entries have seen since.
+// Package vm describes the VMs that the entries use: the fleet as the platform
+// lists it, together with the VMs that entries have observed to be leaving since.
+// A VM offers one of two services: an executor answers requests, a worker runs
+// tasks of the entries. The VMs that run the dispatcher's tasks are described by
+// package worker.
 package vm
 
 import (
@@ -10,28 +13,29 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// VM is one VM of the fleet.
+// VM is one incarnation of a VM of the fleet.
 type VM struct {
-	// ID is unique to one incarnation of the VM.
+	// ID is unique to one incarnation of a VM.
 	ID      string        `json:"id"`
 	AZ      string        `json:"az"`
 	Rack    string        `json:"rack"`
 	Address string        `json:"address"`
 	Service table.Service `json:"service"`
-	// Slots is how much work the VM takes at once; at least 1.
+	// Slots is the maximum number of requests and tasks that the VM serves at the
+	// same time; at least 1.
 	Slots int `json:"slots"`
-	// Leaving says that the VM is shutting down and takes no new work.
+	// Leaving is set if the VM is shutting down and accepts no new work.
 	Leaving bool `json:"leaving"`
 }
 
-// Fleet is an entry's knowledge of all VMs. It is immutable.
+// Fleet is an entry's view of all VMs. It is immutable.
 type Fleet struct {
-	// vms is ordered by ID.
+	// vms holds the listed VMs by ID.
 	vms *immutable.SortedMap[string, VM]
-	// leaving holds the VMs that some entry saw leaving, with the time. The
-	// platform's list lags, so what was seen goes before what it says.
+	// leaving holds, by ID, the time at which an entry first observed that a VM is
+	// leaving. It takes precedence over the platform's list, which lags behind.
 	leaving *immutable.SortedMap[string, time.Time]
-	// ListedAt is when the platform's list was last read.
+	// ListedAt is the time at which the platform's list was last read.
 	ListedAt time.Time
 }
 
@@ -43,12 +47,12 @@
 	}
 }
 
-// VM returns the VM with an ID.
+// VM returns the VM with the given ID.
 func (fle Fleet) VM(id string) (one VM, ok bool) {
 	return fle.vms.Get(id)
 }
 
-// All returns the VMs by ID.
+// All returns all VMs, sorted by ID.
 func (fle Fleet) All() []VM {
 	all := make([]VM, 0, fle.vms.Len())
 	itr := fle.vms.Iterator()
@@ -59,8 +63,8 @@
 	return all
 }
 
-// IsLeaving reports whether the platform lists the VM as leaving or an entry
-// saw it so.
+// IsLeaving reports whether the platform lists the VM as leaving, or no longer
+// lists it, or an entry has observed that it is leaving.
 func (fle Fleet) IsLeaving(id string) bool {
 	if _, seen := fle.leaving.Get(id); seen {
 		return true
@@ -69,7 +73,7 @@
 	return !ok || one.Leaving
 }
 
-// WithLeaving returns the fleet after a VM was seen leaving.
+// WithLeaving returns the fleet after an entry observed that a VM is leaving.
 func (fle Fleet) WithLeaving(id string, now time.Time) Fleet {
 	if _, seen := fle.leaving.Get(id); !seen {
 		fle.leaving = fle.leaving.Set(id, now)
@@ -77,7 +81,7 @@
 	return fle
 }
 
-// SeenLeaving returns the IDs of the VMs that were seen leaving, sorted.
+// SeenLeaving returns the sorted IDs of the VMs that entries observed leaving.
 func (fle Fleet) SeenLeaving() []string {
 	var ids []string
 	itr := fle.leaving.Iterator()
@@ -88,8 +92,8 @@
 	return ids
 }
 
-// WithList returns the fleet after reading the platform's list. VMs that the
-// list no longer has are forgotten, with what was seen of them.
+// WithList returns the fleet after the platform's list was read. VMs that are not
+// in the list are removed, together with the observation that they were leaving.
 func (fle Fleet) WithList(list []VM, now time.Time) Fleet {
 	next := NewFleet()
 	next.ListedAt = now
@@ -102,8 +106,8 @@
 	return next
 }
 
-// Usable returns the VMs of a pool that may be given new work, by ID: those
-// that are not leaving and whose availability zone is in.
+// Usable returns the VMs of a pool that may get new work, sorted by ID: those that
+// are not leaving and whose availability zone is in service.
 func (fle Fleet) Usable(cfg *table.Config, pool string) []VM {
 	var usable []VM
 	for _, id := range cfg.VMsOf(pool) {
