--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -41,18 +41,18 @@
 	return kv.Item{}, kv.ErrNotFound
 }
 
-func newDesk(sto *scriptedStore, age time.Duration) *Desk {
+func newDesk(sto *scriptedStore, age time.Duration) *JobService {
 	cat := catalog.New(catalog.Catalog{
 		Revision: 7,
 		Queues:   []catalog.Queue{{Name: "gate", Host: "h", Prefix: "/g/"}, {Name: "open", Host: "h", Prefix: "/o/", Public: true}},
 		Accounts: []catalog.Account{{Name: "city", Keys: []string{"k"}}},
 	})
-	return &Desk{
+	return &JobService{
 		Store: sto, ConfigKey: "config",
 		Freshness: func() Freshness {
 			return Freshness{Keyed: 3 * time.Second, Denied: 1500 * time.Millisecond, Write: 1300 * time.Millisecond}
 		},
-		View: func() View { return View{Catalog: cat, Confirmed: noon.Add(-age), Heard: noon.Add(-age)} },
+		View: func() View { return View{Catalog: cat, Confirmed: noon.Add(-age), LastContact: noon.Add(-age)} },
 	}
 }
 
@@ -141,7 +141,7 @@
 func TestWatchThatWaits(t *testing.T) {
 	des := newDesk(&scriptedStore{}, 1400*time.Millisecond)
 	vie := des.View()
-	vie.Heard = noon.Add(-700 * time.Millisecond)
+	vie.LastContact = noon.Add(-700 * time.Millisecond)
 	des.View = func() View { return vie }
 	ans := des.Submit(context.Background(), noon, Call{Host: "h", Path: "/g/1", Key: "k"}, oneStep())
 	assert.Equal(t, ans.Verdict, VerdictOK)
--- a/internal/manager/view.go
+++ b/internal/manager/view.go
@@ -61,7 +61,7 @@
 	opv.mu.Lock()
 	defer opv.mu.Unlock()
 	if opv.view.Catalog.Revision != 0 && sent.After(opv.view.Confirmed) {
-		opv.view.Confirmed, opv.view.Heard = sent, opv.now()
+		opv.view.Confirmed, opv.view.LastContact = sent, opv.now()
 	}
 }
 
@@ -111,9 +111,9 @@
 		}
 		opv.view.Catalog = cat
 		opv.log.Event("configuration_applied", decisionlog.Fields{"version": cat.Version, "revision": cat.Revision, "queues": len(cat.Queues), "accounts": len(cat.Accounts)})
-	case platform.IsWave(itm.Key) && cha.Deleted:
+	case platform.IsWaveKey(itm.Key) && cha.Deleted:
 		delete(opv.waves, itm.Key)
-	case platform.IsWave(itm.Key):
+	case platform.IsWaveKey(itm.Key):
 		wav, err := platform.DecodeWave(itm)
 		if err != nil {
 			opv.log.Event("entry_ignored", decisionlog.Fields{"key": itm.Key, "revision": itm.Revision, "error": err.Error()})
