--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -31,7 +31,7 @@
 	Prefix string
 	// Pool is the name of the pool that runs the tasks.
 	Pool string
-	// Priority is the rank of the queue; lower values are served first.
+	// Priority is the rank of the queue; lower values come first.
 	Priority int
 	// MaxAttempts is the number of failed runs of a task after which its job
 	// fails; at least 1.
@@ -73,8 +73,8 @@
 	// Weight is the rate, in jobs per second, that the account is entitled to when
 	// a pool is full; 0 means no limit.
 	Weight float64
-	// Cap is the maximum size of the account's running tasks over all pools; 0
-	// means no limit.
+	// Cap is the maximum size of the account's running tasks over all pools; a
+	// component of 0 means no limit.
 	Cap job.Size
 }
 
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -61,10 +61,10 @@
 // StepShare describes the tasks of one long-running step from the viewpoint of a
 // machine.
 type StepShare struct {
-	// Local is the number of working tasks on the machine. Unavailable is the
-	// number of tasks of the step that are not working. MayMiss is the
-	// availability budget: the maximum number of tasks that may be unavailable; 0
-	// means no limit.
+	// Local is the number of tasks of the step that are working on the machine.
+	// Unavailable is the number of its tasks that are not working, on this machine
+	// or elsewhere. MayMiss is the availability budget: the maximum number of tasks
+	// that may be unavailable; 0 means no limit.
 	Local, Unavailable, MayMiss int
 }
 
