--- a/internal/core/plan/assign.go
+++ b/internal/core/plan/assign.go
@@ -1,4 +1,4 @@
-// Package plan assigns the VMs that serve requests to pools.
+// Package plan assigns the VMs of the entries to pools.
 package plan
 
 import (
