--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -138,13 +138,13 @@
 		adv := &que.stage.advice
 		adv.busy, adv.askedAt = true, sta.now
 		liv := que.stage.live
-		sta.emit(Advise{Job: liv.spec.ID, Occurrence: que.stage.occ, Step: que.stage.index, VMs: que.vms, Decision: sta.adviceTime(liv.spec.Queue)})
+		sta.emit(QueryAdvisor{Job: liv.spec.ID, Occurrence: que.stage.occ, Step: que.stage.index, VMs: que.vms, Latency: sta.adviceTime(liv.spec.Queue)})
 	}
 	sta.questions = nil
 }
 
 // advised takes in the advisor's answer.
-func (sta *State) advised(evt Advised) {
+func (sta *State) advised(evt AdvisorAnswered) {
 	sta.asking--
 	stg := sta.stageOf(job.Task{Job: evt.Job, Occurrence: evt.Occurrence, Step: evt.Step})
 	if stg == nil {
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -272,7 +272,7 @@
 	events := emu.inbox
 	emu.inbox = nil
 	if !emu.blind {
-		events = append(events, ViewConfirmed{At: emu.now})
+		events = append(events, JobWatchProgressed{At: emu.now})
 	}
 	for _, eff := range emu.sched.Reduce(emu.now, events) {
 		emu.perform(eff)
@@ -291,7 +291,7 @@
 	emu.tell(CatalogChanged{Catalog: emu.catalog})
 	if emu.advisor != nil {
 		emu.advisor.busy = 0
-		emu.tell(AskersChanged{Count: emu.advisor.askers})
+		emu.tell(AdvisorSlotsChanged{Count: emu.advisor.askers})
 	}
 	for _, name := range emu.names {
 		if vm := emu.vms[name]; vm.up {
@@ -326,10 +326,10 @@
 		emu.tell(evt)
 	}
 	if emu.wave != nil {
-		emu.tell(WaveAsked{Wave: *emu.wave, Begun: emu.begun})
+		emu.tell(WaveRequested{Wave: *emu.wave, Begun: emu.begun})
 	}
 	emu.tell(Loaded{})
-	var ended EndedListed
+	var ended EndedJobsListed
 	for _, itm := range emu.store.sorted(job.EndedPrefix) {
 		out, err := job.Unmarshal[job.Outcome](itm.Value)
 		if err != nil {
@@ -376,7 +376,7 @@
 
 func (emu *emulator) perform(eff Effect) {
 	switch eff := eff.(type) {
-	case Look:
+	case Poll:
 		emu.known[eff.VM.ID] = true
 		emu.performLook(eff)
 	case Start:
@@ -389,11 +389,11 @@
 		})
 	case Commit:
 		emu.performCommit(eff)
-	case Advise:
+	case QueryAdvisor:
 		emu.performAdvise(eff)
 	case ListMachines:
 		asked := emu.now
-		emu.after(emulatedLatency, func() { emu.tell(MachinesListed{Asked: asked, Machines: emu.machines()}) })
+		emu.after(emulatedLatency, func() { emu.tell(MachinesListed{RequestedAt: asked, Machines: emu.machines()}) })
 	case Upkeep:
 		emu.performUpkeep(eff)
 	case Move:
@@ -405,11 +405,11 @@
 				emu.begun = eff.Begun
 			}
 		})
-	case GiveUp:
+	case StepDown:
 		emu.killDispatcher()
 	case Forget:
 		delete(emu.known, eff.VM.ID)
-	case Note:
+	case LogDecision:
 		emu.notes[eff.Name]++
 	}
 }
@@ -432,7 +432,7 @@
 // askWave asks for the upkeep of all VMs.
 func (emu *emulator) askWave(wav upkeep.Wave) {
 	emu.wave = &wav
-	emu.tell(WaveAsked{Wave: wav})
+	emu.tell(WaveRequested{Wave: wav})
 }
 
 // end ends a life without a trace, as an order for its machine does.
@@ -770,7 +770,7 @@
 	return worker.ResultOK
 }
 
-func (emu *emulator) performLook(eff Look) {
+func (emu *emulator) performLook(eff Poll) {
 	sent, term := emu.now, emu.term
 	answered := false
 	answer := func(res worker.Result, rep worker.Report) {
@@ -780,7 +780,7 @@
 		answered = true
 		emu.after(emulatedLatency, func() {
 			if term == emu.term {
-				emu.tell(Looked{VM: eff.VM, Sent: sent, Report: rep, Result: res})
+				emu.tell(PollAnswered{VM: eff.VM, Sent: sent, Report: rep, Result: res})
 			}
 		})
 	}
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -57,7 +57,7 @@
 		sta.machinesListed(evt)
 	case Committed:
 		sta.committed(evt)
-	case WaveAsked:
+	case WaveRequested:
 		sta.waveAsked(evt)
 	case WaveWithdrawn:
 		delete(sta.waves, evt.Number)
@@ -71,13 +71,13 @@
 // handleAdvice takes in what concerns the advisor, and other events.
 func (sta *State) handleAdvice(evt Event) {
 	switch evt := evt.(type) {
-	case Advised:
+	case AdvisorAnswered:
 		sta.advised(evt)
-	case AskersChanged:
+	case AdvisorSlotsChanged:
 		sta.askers = evt.Count
-	case EndedListed:
+	case EndedJobsListed:
 		sta.endedListed(evt)
-	case ViewConfirmed:
+	case JobWatchProgressed:
 		sta.confirmed = evt.At
 	default:
 		sta.handleAnswer(evt)
@@ -87,7 +87,7 @@
 // handleAnswer takes in what VMs answered. Answers of former lives are void.
 func (sta *State) handleAnswer(evt Event) {
 	switch evt := evt.(type) {
-	case Looked:
+	case PollAnswered:
 		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameIncarnation(evt.VM) {
 			sta.looked(hos, evt)
 		}
@@ -110,7 +110,7 @@
 
 func (sta *State) giveUp(reason string) {
 	sta.gaveUp = true
-	sta.emit(GiveUp{Reason: reason})
+	sta.emit(StepDown{Reason: reason})
 }
 
 // indexPools sorts the hosts, and into their pools.
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -63,9 +63,9 @@
 		Since: cur.Since, Revision: cur.Revision, Term: cur.Holder.Term,
 		Lease:    min(maxLease, time.Duration(float64(bnd.MaxTaskLease)*leaseShare)),
 		StopTime: bnd.StopTime, UpkeepTime: bnd.Upkeep,
-		KeepEnded:      bnd.KeepEnded,
-		ShareWindow:    bnd.ShareWindow,
-		MovesPerSecond: set.MachineOrdersPerSecond,
+		KeepEnded:              bnd.KeepEnded,
+		ShareWindow:            bnd.ShareWindow,
+		MachineOrdersPerSecond: set.MachineOrdersPerSecond,
 	})
 	go dis.bring(ctx)
 	go dis.followAskers(ctx)
@@ -102,7 +102,7 @@
 		}
 		if size := dis.askers.Available(); size != dis.asked {
 			dis.asked = size
-			batch = append(batch, scheduler.AskersChanged{Count: size})
+			batch = append(batch, scheduler.AdvisorSlotsChanged{Count: size})
 		}
 		effects := dis.sta.Reduce(now, batch)
 		batch = batch[:0]
@@ -159,7 +159,7 @@
 	}
 	go dis.follow(ctx, platform.VMPrefix, dis.vmsReset(ctx), func(cha kv.Change) { dis.vmChanged(ctx, cha) }, nil)
 	go dis.follow(ctx, job.LivePrefix, dis.jobsReset(ctx, progress), func(cha kv.Change) { dis.jobChanged(ctx, cha, nil) },
-		func(sent time.Time) { dis.send(ctx, scheduler.ViewConfirmed{At: sent}) })
+		func(sent time.Time) { dis.send(ctx, scheduler.JobWatchProgressed{At: sent}) })
 	go dis.bringEnded(ctx)
 	dis.followOperator(ctx, sna)
 }
@@ -175,7 +175,7 @@
 	if !ok {
 		return
 	}
-	var evt scheduler.EndedListed
+	var evt scheduler.EndedJobsListed
 	for _, itm := range items {
 		out, err := job.Unmarshal[job.Outcome](itm.Value)
 		if err != nil {
@@ -321,7 +321,7 @@
 					return
 				}
 				asked[number] = true
-				dis.send(ctx, scheduler.WaveAsked{Wave: wav, Begun: begun})
+				dis.send(ctx, scheduler.WaveRequested{Wave: wav, Begun: begun})
 			}
 		}
 		for number := range asked {
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -33,7 +33,7 @@
 // goroutine of their own and report by an event.
 func (dis *dispatcher) perform(ctx context.Context, now time.Time, eff scheduler.Effect) {
 	switch eff := eff.(type) {
-	case scheduler.Look:
+	case scheduler.Poll:
 		go dis.look(ctx, now, eff)
 	case scheduler.Start:
 		go dis.start(ctx, eff)
@@ -46,7 +46,7 @@
 			rev, err := dis.commit(ctx, eff.Txn)
 			dis.send(ctx, scheduler.Committed{Revision: rev, Err: err})
 		}()
-	case scheduler.Advise:
+	case scheduler.QueryAdvisor:
 		go dis.advise(ctx, eff)
 	case scheduler.ListMachines:
 		go dis.listMachines(ctx, now)
@@ -62,17 +62,17 @@
 		go dis.saveWave(ctx, eff)
 	case scheduler.Forget:
 		dis.nod.executors.Forget(eff.VM.Address)
-	case scheduler.GiveUp:
+	case scheduler.StepDown:
 		dis.nod.log.Event("duty_given_up", decisionlog.Fields{"reason": eff.Reason})
 		dis.ten.End()
-	case scheduler.Note:
+	case scheduler.LogDecision:
 		dis.note(eff)
 	default:
 		panic(fmt.Sprintf("manager: unknown effect %T", eff))
 	}
 }
 
-func (dis *dispatcher) note(not scheduler.Note) {
+func (dis *dispatcher) note(not scheduler.LogDecision) {
 	fields := decisionlog.Fields{}
 	for key, value := range not.Fields {
 		fields[key] = value
@@ -92,12 +92,12 @@
 // term returns the dispatcher's term.
 func (dis *dispatcher) term() int64 { return dis.ten.Current().Holder.Term }
 
-func (dis *dispatcher) look(ctx context.Context, now time.Time, eff scheduler.Look) {
+func (dis *dispatcher) look(ctx context.Context, now time.Time, eff scheduler.Poll) {
 	ask, cancel := context.WithTimeout(ctx, eff.Wait+lookSlack)
 	defer cancel()
 	rep, res, err := dis.nod.executors.Poll(ask, eff.VM, platform.Poll{Term: dis.term(), Acked: eff.Acked, Deadline: eff.Deadline, Wait: eff.Wait})
 	dis.failed("look", eff.VM.ID, err)
-	dis.send(ctx, scheduler.Looked{VM: eff.VM, Sent: now, Report: rep, Result: res})
+	dis.send(ctx, scheduler.PollAnswered{VM: eff.VM, Sent: now, Report: rep, Result: res})
 }
 
 func (dis *dispatcher) start(ctx context.Context, eff scheduler.Start) {
@@ -127,9 +127,9 @@
 	dis.send(ctx, scheduler.PaceAnswered{VM: eff.VM, Task: eff.Task, Percent: eff.Percent, Result: res})
 }
 
-func (dis *dispatcher) advise(ctx context.Context, eff scheduler.Advise) {
-	evt := scheduler.Advised{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs}
-	ask, cancel := context.WithTimeout(ctx, advisory.QueryTimeout(eff.Decision))
+func (dis *dispatcher) advise(ctx context.Context, eff scheduler.QueryAdvisor) {
+	evt := scheduler.AdvisorAnswered{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs}
+	ask, cancel := context.WithTimeout(ctx, advisory.QueryTimeout(eff.Latency))
 	defer cancel()
 	ans, err := dis.askers.RequestTickets(ask, advisory.Query{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs})
 	if err != nil {
@@ -148,7 +148,7 @@
 		dis.nod.log.Event("machines_not_listed", decisionlog.Fields{"error": err.Error()})
 		all = nil
 	}
-	dis.send(ctx, scheduler.MachinesListed{Asked: now, Machines: all})
+	dis.send(ctx, scheduler.MachinesListed{RequestedAt: now, Machines: all})
 }
 
 // errNotHeld means that an order was not sent, for the duty was not sure.
