--- a/internal/core/entry/edits.go
+++ b/internal/core/entry/edits.go
@@ -68,7 +68,7 @@
 	next *table.Config
 }
 
-func (stp *step) operatorAsked(evt event.OperatorAsked) {
+func (stp *step) operatorAsked(evt event.ChangeRequested) {
 	if len(stp.st.edits.pending) >= maxPendingEdits {
 		stp.answerOperator(evt.Request, outcome.CodeNotAccepted, "Too many edits wait at this entry.")
 		return
@@ -126,7 +126,7 @@
 	if _, joins := pnd.change.(table.VoterJoined); joins && len(stp.st.config.Voters) == 0 {
 		return nil
 	}
-	if stp.st.view.HearsMajority(stp.now, stp.st.config) {
+	if stp.st.view.HasQuorum(stp.now, stp.st.config) {
 		return nil
 	}
 	return errors.New("the entry does not hear a majority of the voting members")
@@ -297,7 +297,7 @@
 		return
 	}
 	if pnd.request != 0 {
-		stp.emit(effect.AnswerOperator{Request: pnd.request, Accepted: true, Revision: pnd.next.Revision})
+		stp.emit(effect.ReplyChange{Request: pnd.request, Accepted: true, Revision: pnd.next.Revision})
 	}
 	stp.dropCurrentEdit()
 }
@@ -314,7 +314,7 @@
 }
 
 func (stp *step) answerOperator(request uint64, cod outcome.Code, msg string) {
-	stp.emit(effect.AnswerOperator{
+	stp.emit(effect.ReplyChange{
 		Request: request, Revision: stp.st.config.Revision, Code: cod, Message: msg,
 	})
 }
--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -25,7 +25,7 @@
 
 func (stp *step) peerUp(evt event.PeerUp) {
 	per, _ := stp.st.view.Peer(evt.Member)
-	per.ID, per.AZ, per.Connected, per.HeardAt = evt.Member, evt.AZ, true, stp.now
+	per.ID, per.AZ, per.Connected, per.LastSeenAt = evt.Member, evt.AZ, true, stp.now
 	stp.st.view = stp.st.view.WithPeer(per)
 	stp.record("member", "peer_up", evt.Member, evt.AZ)
 	stp.sendHeartbeat(evt.Member, stp.toldSpares())
@@ -56,11 +56,11 @@
 		return
 	}
 	per, _ := stp.st.view.Peer(from)
-	if !per.HeardAt.Before(stp.now) {
+	if !per.LastSeenAt.Before(stp.now) {
 		return
 	}
-	silent := stp.now.Sub(per.HeardAt) > member.SilentAfter
-	per.ID, per.HeardAt = from, stp.now
+	silent := stp.now.Sub(per.LastSeenAt) > member.LivenessTimeout
+	per.ID, per.LastSeenAt = from, stp.now
 	stp.st.view = stp.st.view.WithPeer(per)
 	if silent {
 		stp.redirectReports()
@@ -74,7 +74,7 @@
 	per.Leaving = hbt.Leaving
 	per.Revision = max(per.Revision, hbt.Revision)
 	if hbt.Echo > 0 {
-		per.ProvenAt = later(per.ProvenAt, stp.st.started.Add(time.Duration(hbt.Echo)))
+		per.ConfirmedAt = later(per.ConfirmedAt, stp.st.started.Add(time.Duration(hbt.Echo)))
 	}
 	stp.st.view = stp.st.view.WithPeer(per)
 	stp.st.echoes = stp.st.echoes.Set(from, hbt.SentNanos)
@@ -92,7 +92,7 @@
 	stp.membersGone(hbt.Gone, "told by "+from)
 	stp.offerEdits(from, hbt.Revision)
 	if hbt.Revision > stp.st.config.Revision {
-		stp.send(from, message.SnapshotAsk{Have: stp.st.config.Revision})
+		stp.send(from, message.SnapshotRequest{Have: stp.st.config.Revision})
 	}
 	stp.checkAcknowledged()
 }
@@ -103,13 +103,13 @@
 		stp.redirectReports()
 		stp.dropReports()
 	}
-	if stp.now.Sub(stp.st.heartbeatAt) < member.HeartbeatEvery {
+	if stp.now.Sub(stp.st.heartbeatAt) < member.HeartbeatInterval {
 		return
 	}
 	stp.sendHeartbeats()
 	for _, per := range stp.st.view.Peers() {
 		_, votes := stp.st.config.Voter(per.ID)
-		if !votes && !per.Connected && stp.now.Sub(per.HeardAt) > forgetPeerAfter {
+		if !votes && !per.Connected && stp.now.Sub(per.LastSeenAt) > forgetPeerAfter {
 			stp.st.view = stp.st.view.WithoutPeer(per.ID)
 			stp.st.echoes = stp.st.echoes.Delete(per.ID)
 		}
@@ -136,7 +136,7 @@
 
 // sendHeartbeat tells one peer that the entry lives, and what changed of its
 // spare permits. What was lost on the way is told again when the link is new.
-func (stp *step) sendHeartbeat(to string, spares []message.Spare) {
+func (stp *step) sendHeartbeat(to string, spares []message.SparePermits) {
 	echo, _ := stp.st.echoes.Get(to)
 	hbt := message.Heartbeat{
 		Revision:    stp.st.config.Revision,
--- a/internal/core/entry/permits.go
+++ b/internal/core/entry/permits.go
@@ -39,7 +39,7 @@
 	itr := stp.st.busy.Iterator()
 	for !itr.Done() {
 		pool, _, _ := itr.Next()
-		for _, cnt := range stp.pool(pool).queue.Counts() {
+		for _, cnt := range stp.pool(pool).queue.Backlog() {
 			if cnt.Lane.Team != team {
 				continue
 			}
@@ -73,7 +73,7 @@
 // askForPermits asks the peers that said that they have some to spare, or one
 // peer at random when none did.
 func (stp *step) askForPermits(team string, lacking int, tst teamState) {
-	ask := message.PermitAsk{
+	ask := message.PermitRequest{
 		Team: team, Urgent: tst.urgent, Free: max(0, tst.free),
 		AgeMillis: stp.now.Sub(tst.oldest).Milliseconds(),
 	}
@@ -100,7 +100,7 @@
 	var peers []string
 	for _, per := range stp.st.view.Peers() {
 		_, votes := stp.st.config.Voter(per.ID)
-		if votes && stp.now.Sub(per.HeardAt) <= member.SilentAfter && !stp.st.ledger.IsFrozen(per.ID) {
+		if votes && stp.now.Sub(per.LastSeenAt) <= member.LivenessTimeout && !stp.st.ledger.IsFrozen(per.ID) {
 			peers = append(peers, per.ID)
 		}
 	}
@@ -132,7 +132,7 @@
 }
 
 // permitsAsked gives what the asker should have.
-func (stp *step) permitsAsked(from string, ask message.PermitAsk) {
+func (stp *step) permitsAsked(from string, ask message.PermitRequest) {
 	if _, votes := stp.st.config.Voter(from); !votes {
 		return
 	}
@@ -143,7 +143,7 @@
 	}
 	stp.send(from, message.PermitTransfer{
 		Totals: stp.st.ledger.SentTo(from),
-		Spare:  []message.Spare{{Team: ask.Team, Permits: stp.spareOf(ask.Team)}},
+		Spare:  []message.SparePermits{{Team: ask.Team, Permits: stp.spareOf(ask.Team)}},
 	})
 }
 
@@ -151,7 +151,7 @@
 // work for; half of those that its own work waits to use, if the asker has none
 // at all; and the last one if the asker's work is more urgent or older. So no
 // entry keeps a team's permits to itself.
-func (stp *step) giveable(ask message.PermitAsk) int {
+func (stp *step) giveable(ask message.PermitRequest) int {
 	tst := stp.teamState(ask.Team)
 	spare := tst.spare()
 	if spare > 0 || tst.free <= 0 || ask.Free > 0 {
@@ -186,13 +186,13 @@
 
 // changedSpares lists the teams whose spare permits have changed so much since
 // the peers were last told that it matters to whom they turn.
-func (stp *step) changedSpares() []message.Spare {
-	var changed []message.Spare
+func (stp *step) changedSpares() []message.SparePermits {
+	var changed []message.SparePermits
 	for _, tea := range stp.st.config.Tables.Teams {
 		spare := stp.spareOf(tea.Name)
 		told, _ := stp.st.toldSpares.Get(tea.Name)
 		if !isNear(spare, told) {
-			changed = append(changed, message.Spare{Team: tea.Name, Permits: spare})
+			changed = append(changed, message.SparePermits{Team: tea.Name, Permits: spare})
 			stp.st.toldSpares = stp.st.toldSpares.Set(tea.Name, spare)
 		}
 	}
@@ -205,17 +205,17 @@
 }
 
 // toldSpares lists all that the peers were told.
-func (stp *step) toldSpares() []message.Spare {
-	var told []message.Spare
+func (stp *step) toldSpares() []message.SparePermits {
+	var told []message.SparePermits
 	itr := stp.st.toldSpares.Iterator()
 	for !itr.Done() {
 		team, spare, _ := itr.Next()
-		told = append(told, message.Spare{Team: team, Permits: spare})
+		told = append(told, message.SparePermits{Team: team, Permits: spare})
 	}
 	return told
 }
 
-func (stp *step) hearSpares(from string, spares []message.Spare) {
+func (stp *step) hearSpares(from string, spares []message.SparePermits) {
 	for _, spa := range spares {
 		stp.setSpare(spa.Team, from, spa.Permits)
 	}
--- a/internal/core/entry/removal.go
+++ b/internal/core/entry/removal.go
@@ -62,7 +62,7 @@
 // nothing: it stops starting work once its configuration is no longer fresh,
 // its requests end with their deadlines, and its tasks with their leases.
 func StopsWithin(cfg *table.Config) time.Duration {
-	return member.FreshFor + max(cfg.Tables.LongestRequest(), TaskLease) + stopMargin
+	return member.FreshnessTimeout + max(cfg.Tables.LongestRequest(), TaskLease) + stopMargin
 }
 
 func (stp *step) tickRemoval() {
@@ -129,7 +129,7 @@
 // counts for it only when it comes back as an echo.
 func (stp *step) hasStopped(id string) bool {
 	per, known := stp.st.view.Peer(id)
-	return !known || stp.st.view.IsGone(id) || stp.now.Sub(per.HeardAt) >= StopsWithin(stp.st.config)
+	return !known || stp.st.view.IsGone(id) || stp.now.Sub(per.LastSeenAt) >= StopsWithin(stp.st.config)
 }
 
 // dismissed ends the entry: another one takes it for departed and has ended its
--- a/internal/core/entry/request.go
+++ b/internal/core/entry/request.go
@@ -102,13 +102,13 @@
 // refusal late.
 func (stp *step) cannotStartInTime(wrk work.Work) bool {
 	ahead := 0
-	for _, cnt := range stp.pool(wrk.Pool).queue.Counts() {
+	for _, cnt := range stp.pool(wrk.Pool).queue.Backlog() {
 		if cnt.Lane.Team == wrk.Team && cnt.Lane.Urgency.Rank() <= wrk.Urgency.Rank() {
 			ahead += cnt.Waiting
 		}
 	}
 	rate, _ := stp.st.rates.Get(rateKey(wrk))
-	wait, known := rate.Wait(stp.now, ahead)
+	wait, known := rate.EstimateWait(stp.now, ahead)
 	return known && wait > wrk.Deadline.Sub(stp.now)
 }
 
@@ -149,7 +149,7 @@
 	switch {
 	case evt.Result == event.AttemptAnswered:
 		stp.noteAnswer(wrk.VM)
-		stp.emit(effect.RelayAnswer{Request: stp.requestOf(wrk.ID), Work: wrk.ID, Attempt: wrk.Attempt})
+		stp.emit(effect.RelayResponse{Request: stp.requestOf(wrk.ID), Work: wrk.ID, Attempt: wrk.Attempt})
 		stp.forget(wrk)
 		stp.reuseSlot(wrk)
 	case wrk.Cancelled:
--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -37,7 +37,7 @@
 func (stp *step) reserve(wrk work.Work, idempotencyKey string) {
 	sum := sha256.Sum256([]byte(wrk.Team + "\x00" + idempotencyKey))
 	hash := hex.EncodeToString(sum[:])
-	homes := idempotency.Homes(stp.st.config.VoterIDs(), hash)
+	homes := idempotency.Replicas(stp.st.config.VoterIDs(), hash)
 	if len(homes) == 0 {
 		stp.refuseNotRun(stp.requestOf(wrk.ID), outcome.CodeNoFreshConfig, "No voting member can remember the idempotency key.")
 		stp.forget(wrk)
@@ -50,34 +50,34 @@
 	stp.st.asks.reservations = stp.st.asks.reservations.Set(id, ask)
 	stp.st.asks.reservationOf = stp.st.asks.reservationOf.Set(stp.requestOf(wrk.ID), hash)
 	for _, home := range homes {
-		stp.send(home, message.Reserve{AskID: id, Hash: hash})
+		stp.send(home, message.ReserveKey{RequestID: id, Hash: hash})
 	}
 }
 
-func (stp *step) reserveHeard(from string, msg message.Reserve) {
+func (stp *step) reserveHeard(from string, msg message.ReserveKey) {
 	if stp.st.memory.Len() > sweepAbove && stp.random(sweepAbove) == 0 {
-		stp.st.memory = stp.st.memory.Swept(stp.now)
+		stp.st.memory = stp.st.memory.WithoutExpired(stp.now)
 	}
-	next, fresh := stp.st.memory.WithUse(stp.now, msg.Hash, from, msg.AskID)
+	next, fresh := stp.st.memory.WithReservation(stp.now, msg.Hash, from, msg.RequestID)
 	stp.st.memory = next
-	stp.send(from, message.Reserved{AskID: msg.AskID, Hash: msg.Hash, Fresh: fresh})
+	stp.send(from, message.ReserveKeyReply{RequestID: msg.RequestID, Hash: msg.Hash, Fresh: fresh})
 }
 
-func (stp *step) reservedHeard(from string, msg message.Reserved) {
-	ask, ok := stp.st.asks.reservations.Get(msg.AskID)
+func (stp *step) reservedHeard(from string, msg message.ReserveKeyReply) {
+	ask, ok := stp.st.asks.reservations.Get(msg.RequestID)
 	if !ok || ask.hash != msg.Hash {
 		return
 	}
 	if !msg.Fresh {
-		stp.refuseDuplicate(msg.AskID, ask)
+		stp.refuseDuplicate(msg.RequestID, ask)
 		return
 	}
 	if !slices.Contains(ask.fresh, from) {
 		ask.fresh = append(slices.Clip(ask.fresh), from)
 	}
-	stp.st.asks.reservations = stp.st.asks.reservations.Set(msg.AskID, ask)
+	stp.st.asks.reservations = stp.st.asks.reservations.Set(msg.RequestID, ask)
 	if len(ask.fresh) >= ask.needed && !stp.awaitsHome(ask) {
-		stp.reservationDone(msg.AskID, ask)
+		stp.reservationDone(msg.RequestID, ask)
 	}
 }
 
@@ -103,17 +103,17 @@
 // be their homes by a change of the voters.
 func (stp *step) handOnKeys(old []string) {
 	for _, hdo := range stp.st.memory.Handovers(stp.now, stp.st.set.ID, old, stp.st.config.VoterIDs()) {
-		var keeps []message.Kept
+		var keeps []message.IdempotencyKey
 		for _, key := range hdo.Keys {
-			keeps = append(keeps, message.Kept{Hash: key.Hash, Owner: key.Owner, AgeMillis: key.Age.Milliseconds()})
+			keeps = append(keeps, message.IdempotencyKey{Hash: key.Hash, Owner: key.Owner, AgeMillis: key.Age.Milliseconds()})
 		}
 		for part := range slices.Chunk(keeps, keysPerMessage) {
-			stp.send(hdo.To, message.Keep{Keys: part})
+			stp.send(hdo.To, message.KeyHandover{Keys: part})
 		}
 	}
 }
 
-func (stp *step) keepHeard(msg message.Keep) {
+func (stp *step) keepHeard(msg message.KeyHandover) {
 	var keys []idempotency.Key
 	for _, kpt := range msg.Keys {
 		age := time.Duration(kpt.AgeMillis) * time.Millisecond
@@ -145,13 +145,13 @@
 		return
 	}
 	stp.st.asks.reservationOf = stp.st.asks.reservationOf.Delete(request)
-	for _, home := range idempotency.Homes(stp.st.config.VoterIDs(), hash) {
-		stp.send(home, message.Release{Hash: hash})
+	for _, home := range idempotency.Replicas(stp.st.config.VoterIDs(), hash) {
+		stp.send(home, message.ReleaseKey{Hash: hash})
 	}
 }
 
-func (stp *step) releaseHeard(from string, msg message.Release) {
-	stp.st.memory = stp.st.memory.WithoutUse(msg.Hash, from)
+func (stp *step) releaseHeard(from string, msg message.ReleaseKey) {
+	stp.st.memory = stp.st.memory.WithoutReservation(msg.Hash, from)
 }
 
 func (stp *step) tickReservations() {
--- a/internal/core/entry/state.go
+++ b/internal/core/entry/state.go
@@ -115,7 +115,7 @@
 	logs logState
 	asks askState
 	// memory holds the idempotency keys that this entry is a home of.
-	memory    idempotency.Memory
+	memory    idempotency.Registry
 	draining  drainState
 	plannedAt time.Time
 	// plannedFor is what the last plan without moves was made from.
@@ -230,7 +230,7 @@
 		log:        task.NewLog(),
 		asks:       newAskState(),
 		logs:       newLogState(),
-		memory:     idempotency.NewMemory(),
+		memory:     idempotency.NewRegistry(),
 		store:      newStoreState(),
 	}
 }
@@ -249,5 +249,5 @@
 
 // Rights returns how much work of a team the entry may have running.
 func (sta State) Rights(team string) int {
-	return sta.ledger.Rights(sta.config, team)
+	return sta.ledger.Permits(sta.config, team)
 }
--- a/internal/core/idempotency/memory.go
+++ b/internal/core/idempotency/memory.go
@@ -18,12 +18,12 @@
 const (
 	// copies is how many members remember a key.
 	copies = 3
-	// KeepFor is how long a key is remembered.
-	KeepFor = 10 * time.Minute
+	// KeyRetention is how long a key is remembered.
+	KeyRetention = 10 * time.Minute
 )
 
-// Memory is what one member remembers. It is immutable.
-type Memory struct {
+// Registry is what one member remembers. It is immutable.
+type Registry struct {
 	// keys maps a hash of team and key to its first use.
 	keys *immutable.Map[string, use]
 }
@@ -35,28 +35,28 @@
 	at    time.Time
 }
 
-// NewMemory returns a memory without keys.
-func NewMemory() Memory {
-	return Memory{keys: immutable.NewMap[string, use](nil)}
+// NewRegistry returns a memory without keys.
+func NewRegistry() Registry {
+	return Registry{keys: immutable.NewMap[string, use](nil)}
 }
 
 // Len returns how many keys are remembered.
-func (mem Memory) Len() int { return mem.keys.Len() }
+func (mem Registry) Len() int { return mem.keys.Len() }
 
-// WithUse returns the memory after an entry asked for a key, and whether the key
+// WithReservation returns the memory after an entry asked for a key, and whether the key
 // is new. Asking again with the same number gets the same answer.
-func (mem Memory) WithUse(now time.Time, hash, owner string, ask uint64) (next Memory, fresh bool) {
+func (mem Registry) WithReservation(now time.Time, hash, owner string, ask uint64) (next Registry, fresh bool) {
 	old, seen := mem.keys.Get(hash)
-	fresh = !seen || now.Sub(old.at) > KeepFor || (old.owner == owner && old.ask == ask)
+	fresh = !seen || now.Sub(old.at) > KeyRetention || (old.owner == owner && old.ask == ask)
 	if fresh {
 		mem.keys = mem.keys.Set(hash, use{owner: owner, ask: ask, at: now})
 	}
 	return mem, fresh
 }
 
-// WithoutUse returns the memory after the owner of a key said that its request
+// WithoutReservation returns the memory after the owner of a key said that its request
 // was certainly not run.
-func (mem Memory) WithoutUse(hash, owner string) Memory {
+func (mem Registry) WithoutReservation(hash, owner string) Registry {
 	if old, seen := mem.keys.Get(hash); seen && old.owner == owner {
 		mem.keys = mem.keys.Delete(hash)
 	}
@@ -72,7 +72,7 @@
 }
 
 // WithKeys returns the memory with keys that another member handed on.
-func (mem Memory) WithKeys(now time.Time, keys []Key) Memory {
+func (mem Registry) WithKeys(now time.Time, keys []Key) Registry {
 	for _, key := range keys {
 		if _, seen := mem.keys.Get(key.Hash); !seen {
 			mem.keys = mem.keys.Set(key.Hash, use{owner: key.Owner, at: now.Add(-key.Age)})
@@ -81,21 +81,21 @@
 	return mem
 }
 
-// Swept returns the memory without the keys that are too old.
-func (mem Memory) Swept(now time.Time) Memory {
+// WithoutExpired returns the memory without the keys that are too old.
+func (mem Registry) WithoutExpired(now time.Time) Registry {
 	itr := mem.keys.Iterator()
 	for !itr.Done() {
 		hash, old, _ := itr.Next()
-		if now.Sub(old.at) > KeepFor {
+		if now.Sub(old.at) > KeyRetention {
 			mem.keys = mem.keys.Delete(hash)
 		}
 	}
 	return mem
 }
 
-// Homes returns the voters that remember a key: those that come first in the
+// Replicas returns the voters that remember a key: those that come first in the
 // rendezvous order of its hash.
-func Homes(voters []string, hash string) []string {
+func Replicas(voters []string, hash string) []string {
 	ids := slices.Clone(voters)
 	slices.SortFunc(ids, func(a, b string) int {
 		return cmp.Compare(member.Score(b, hash), member.Score(a, hash))
@@ -111,17 +111,17 @@
 
 // Handovers returns what the members must learn that came to be the homes of keys
 // by a change of the voters, sorted by member and hash.
-func (mem Memory) Handovers(now time.Time, self string, old, next []string) []Handover {
+func (mem Registry) Handovers(now time.Time, self string, old, next []string) []Handover {
 	byHome := map[string][]Key{}
 	itr := mem.keys.Iterator()
 	for !itr.Done() {
 		hash, one, _ := itr.Next()
 		age := now.Sub(one.at)
-		if age > KeepFor {
+		if age > KeyRetention {
 			continue
 		}
-		was := Homes(old, hash)
-		for _, home := range Homes(next, hash) {
+		was := Replicas(old, hash)
+		for _, home := range Replicas(next, hash) {
 			if home != self && !slices.Contains(was, home) {
 				byHome[home] = append(byHome[home], Key{Hash: hash, Owner: one.owner, Age: age})
 			}
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -11,27 +11,27 @@
 
 // Timing of the freshness rule and of failure detection.
 const (
-	// FreshFor is how long contact with the store or hearing a majority lets
+	// FreshnessTimeout is how long contact with the store or hearing a majority lets
 	// an entry start work.
-	FreshFor = 2 * time.Second
-	// SilentAfter is how long after its last message a member no longer counts
+	FreshnessTimeout = 2 * time.Second
+	// LivenessTimeout is how long after its last message a member no longer counts
 	// as live. Urgent work that waits for a lost dispatcher must still start
 	// within 1.2 s.
-	SilentAfter = 600 * time.Millisecond
-	// HeartbeatEvery is the time between heartbeats to each peer.
-	HeartbeatEvery = 200 * time.Millisecond
+	LivenessTimeout = 600 * time.Millisecond
+	// HeartbeatInterval is the time between heartbeats to each peer.
+	HeartbeatInterval = 200 * time.Millisecond
 )
 
 // Peer is what an entry knows of another one.
 type Peer struct {
 	ID string
 	AZ string
-	// HeardAt is when the last message came; it only moves forward.
-	HeardAt time.Time
-	// ProvenAt is when the entry sent the latest heartbeat that the peer has
+	// LastSeenAt is when the last message came; it only moves forward.
+	LastSeenAt time.Time
+	// ConfirmedAt is when the entry sent the latest heartbeat that the peer has
 	// answered. What the peer reported is at least as new as that, however
 	// long its answer was on the way.
-	ProvenAt time.Time
+	ConfirmedAt time.Time
 	// Revision is the highest configuration revision that the peer reported.
 	Revision int64
 	// Leaving says that the peer is shutting down gracefully.
@@ -65,8 +65,8 @@
 // Leaving reports whether the entry itself is shutting down.
 func (vie View) Leaving() bool { return vie.leaving }
 
-// StoreAt returns when the store last answered.
-func (vie View) StoreAt() time.Time { return vie.storeAt }
+// StoreContactAt returns when the store last answered.
+func (vie View) StoreContactAt() time.Time { return vie.storeAt }
 
 // Peers returns the known peers, sorted by ID. The caller must not change the
 // slice.
@@ -138,7 +138,7 @@
 func (vie View) Live(now time.Time) []string {
 	ids := make([]string, 0, len(vie.peers)+1)
 	for _, per := range vie.peers {
-		if !per.Leaving && per.Connected && isWithin(per.HeardAt, now, SilentAfter) {
+		if !per.Leaving && per.Connected && isWithin(per.LastSeenAt, now, LivenessTimeout) {
 			ids = append(ids, per.ID)
 		}
 	}
@@ -149,10 +149,10 @@
 	return ids
 }
 
-// HearsMajority reports whether the entry heard more than half of the voters
+// HasQuorum reports whether the entry heard more than half of the voters
 // that are not gone within FreshFor, counting itself when it votes.
-func (vie View) HearsMajority(now time.Time, cfg *table.Config) bool {
-	return vie.isMajority(cfg, func(per Peer) bool { return isWithin(per.ProvenAt, now, FreshFor) })
+func (vie View) HasQuorum(now time.Time, cfg *table.Config) bool {
+	return vie.isMajority(cfg, func(per Peer) bool { return isWithin(per.ConfirmedAt, now, FreshnessTimeout) })
 }
 
 // isMajority reports whether a condition holds of more than half of the voters
@@ -175,10 +175,10 @@
 // IsFresh reports whether the entry may start work: it had contact with the
 // store, or heard a majority of the voters, within FreshFor.
 func (vie View) IsFresh(now time.Time, cfg *table.Config) bool {
-	if isWithin(vie.storeAt, now, FreshFor) {
+	if isWithin(vie.storeAt, now, FreshnessTimeout) {
 		return true
 	}
-	return vie.HearsMajority(now, cfg)
+	return vie.HasQuorum(now, cfg)
 }
 
 // Acknowledged reports whether a majority of the voters that are not gone
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -29,15 +29,15 @@
 	Echo      int64 `json:"echo"`
 	Leaving   bool  `json:"leaving,omitempty"`
 	// Spare lists the teams of which the sender has permits to give.
-	Spare []Spare `json:"spare,omitempty"`
+	Spare []SparePermits `json:"spare,omitempty"`
 	// SeenLeaving lists VMs that the sender saw leaving.
 	SeenLeaving []string `json:"seen_leaving,omitempty"`
 	// Gone lists voters that the sender knows to run no more.
 	Gone []string `json:"gone,omitempty"`
 }
 
-// Spare is how many of a team's permits a member could give away.
-type Spare struct {
+// SparePermits is how many of a team's permits a member could give away.
+type SparePermits struct {
 	Team    string `json:"team"`
 	Permits int    `json:"permits"`
 }
@@ -47,9 +47,9 @@
 	Edits []table.Edit `json:"edits"`
 }
 
-// SnapshotAsk asks for the whole configuration, by a peer whose own is older
+// SnapshotRequest asks for the whole configuration, by a peer whose own is older
 // than the changes that are kept.
-type SnapshotAsk struct {
+type SnapshotRequest struct {
 	Have int64 `json:"have"`
 }
 
@@ -123,8 +123,8 @@
 	Count   int    `json:"c"`
 }
 
-// PermitAsk asks for permits of a team.
-type PermitAsk struct {
+// PermitRequest asks for permits of a team.
+type PermitRequest struct {
 	Team    string `json:"team"`
 	Permits int    `json:"permits"`
 	// AgeMillis is how long the oldest work of the team has waited, and Urgent
@@ -139,7 +139,7 @@
 type PermitTransfer struct {
 	Totals []permit.Total `json:"totals"`
 	// Spare is what the sender still could give of the teams named.
-	Spare []Spare `json:"spare,omitempty"`
+	Spare []SparePermits `json:"spare,omitempty"`
 }
 
 // Freeze asks a member to end transfers with members that are to be removed.
@@ -153,49 +153,49 @@
 	Settlement table.Settlement `json:"settlement"`
 }
 
-// TaskAsk asks whether a member holds a task.
-type TaskAsk struct {
-	AskID  uint64 `json:"ask"`
-	TaskID string `json:"task"`
+// TaskQuery asks whether a member holds a task.
+type TaskQuery struct {
+	RequestID uint64 `json:"ask"`
+	TaskID    string `json:"task"`
 }
 
-// TaskTold answers TaskAsk. Found is false when the member does not hold it.
-type TaskTold struct {
-	AskID  uint64      `json:"ask"`
-	Found  bool        `json:"found"`
-	Status task.Status `json:"status"`
+// TaskReply answers TaskAsk. Found is false when the member does not hold it.
+type TaskReply struct {
+	RequestID uint64      `json:"ask"`
+	Found     bool        `json:"found"`
+	Status    task.Status `json:"status"`
 }
 
-// Reserve asks a member to remember that a request with an idempotency key is
+// ReserveKey asks a member to remember that a request with an idempotency key is
 // about to run.
-type Reserve struct {
-	AskID uint64 `json:"ask"`
+type ReserveKey struct {
+	RequestID uint64 `json:"ask"`
 	// Hash covers the team and the caller's idempotency key.
 	Hash string `json:"hash"`
 }
 
-// Reserved answers Reserve. Fresh is false when the key was seen before.
-type Reserved struct {
-	AskID uint64 `json:"ask"`
-	Hash  string `json:"hash"`
-	Fresh bool   `json:"fresh"`
+// ReserveKeyReply answers Reserve. Fresh is false when the key was seen before.
+type ReserveKeyReply struct {
+	RequestID uint64 `json:"ask"`
+	Hash      string `json:"hash"`
+	Fresh     bool   `json:"fresh"`
 }
 
-// Keep hands idempotency keys on to a member that came to be their home.
-type Keep struct {
-	Keys []Kept `json:"keys"`
+// KeyHandover hands idempotency keys on to a member that came to be their home.
+type KeyHandover struct {
+	Keys []IdempotencyKey `json:"keys"`
 }
 
-// Kept is an idempotency key that a member remembers.
-type Kept struct {
+// IdempotencyKey is an idempotency key that a member remembers.
+type IdempotencyKey struct {
 	Hash  string `json:"h"`
 	Owner string `json:"o"`
 	// AgeMillis is how long ago the key was seen.
 	AgeMillis int64 `json:"a"`
 }
 
-// Release asks a member to forget a reservation, because the request was
+// ReleaseKey asks a member to forget a reservation, because the request was
 // certainly not run.
-type Release struct {
+type ReleaseKey struct {
 	Hash string `json:"hash"`
 }
