--- a/internal/core/task/log.go
+++ b/internal/core/task/log.go
@@ -12,13 +12,13 @@
 
 // Bounds of the log.
 const (
-	// SegmentBytes bounds the records of one write, far below the megabyte
+	// MaxSegmentBytes bounds the records of one write, far below the megabyte
 	// that the store holds in a value.
-	SegmentBytes = 256 << 10
-	// CompactAfter is the number of segments after which the log is rewritten.
-	CompactAfter = 64
-	// KeepResults is how long a finished task can be asked for.
-	KeepResults = time.Hour
+	MaxSegmentBytes = 256 << 10
+	// CompactionThreshold is the number of segments after which the log is rewritten.
+	CompactionThreshold = 64
+	// ResultRetention is how long a finished task can be asked for.
+	ResultRetention = time.Hour
 )
 
 // Log is an entry's record of the tasks that it owns. It is immutable.
@@ -91,7 +91,7 @@
 	size, count := 0, 0
 	for _, rec := range log.pending {
 		size += len(rec.Payload) + len(rec.Result) + recordOverhead
-		if count > 0 && size > SegmentBytes {
+		if count > 0 && size > MaxSegmentBytes {
 			break
 		}
 		count++
@@ -118,7 +118,7 @@
 // NeedsCompaction reports whether the log has so many segments that it should
 // be rewritten.
 func (log Log) NeedsCompaction() bool {
-	return log.Seq-log.Oldest > CompactAfter
+	return log.Seq-log.Oldest > CompactionThreshold
 }
 
 // WithCompaction returns the log with a rewrite of all that is kept in flight.
@@ -131,14 +131,14 @@
 	itr := log.kept.Iterator()
 	for !itr.Done() {
 		id, rec, _ := itr.Next()
-		if rec.State.IsFinal() && now.Sub(rec.EndedAt) > KeepResults {
+		if rec.State.IsFinal() && now.Sub(rec.EndedAt) > ResultRetention {
 			kept = kept.Delete(id)
 			continue
 		}
 		size += len(rec.Payload) + len(rec.Result) + recordOverhead
 		recs = append(recs, rec)
 	}
-	if size > SegmentBytes {
+	if size > MaxSegmentBytes {
 		return log, false
 	}
 	log.kept = kept
@@ -159,9 +159,9 @@
 	return json.Marshal(recs)
 }
 
-// Fold reads the segments of a log, in their order, and returns the last
+// Replay reads the segments of a log, in their order, and returns the last
 // record of each task, by ID.
-func Fold(segments [][]byte) (recs []Record, err error) {
+func Replay(segments [][]byte) (recs []Record, err error) {
 	latest := map[string]Record{}
 	for i, segment := range segments {
 		var part []Record
