--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -66,7 +66,7 @@
 // isNext reports whether a stage waits only for tasks that are all running or
 // done, so that it is asked about in time.
 func (stg *stage) isNext() bool {
-	occ := stg.live.occs[stg.occ]
+	occ := stg.liveJob.occs[stg.occ]
 	for _, dep := range stg.step.After {
 		if occ.stages[dep].waiting > 0 || occ.stages[dep].blockers > 0 {
 			return false
@@ -79,16 +79,16 @@
 // in the order of priority, as far as askers are free.
 func (sta *State) wantAdvice(stg *stage, hosts []*host) {
 	adv := &stg.advice
-	if sta.adviceFor(stg.live.spec.Queue) == nil || adv.busy || sta.now.Sub(adv.askedAt) < adviceRetry {
+	if sta.adviceFor(stg.liveJob.spec.Queue) == nil || adv.busy || sta.now.Sub(adv.askedAt) < adviceRetry {
 		return
 	}
-	room := stg.step.Reservation()
+	reservation := stg.step.Reservation()
 	var first, later []string
 	for _, hos := range hosts {
 		switch {
 		case adv.denied[hos.vm.ID] || adv.valid(hos.vm.ID, sta.now) != "":
 		case stg.step.Label != "" && !hos.vm.HasLabel(stg.step.Label):
-		case room.Fits(hos.vm.Capacity.Minus(hos.used)):
+		case reservation.Fits(hos.vm.Capacity.Minus(hos.used)):
 			first = append(first, hos.vm.ID)
 		default:
 			later = append(later, hos.vm.ID)
@@ -98,16 +98,16 @@
 	if len(vms) == 0 {
 		return
 	}
-	sta.questions = append(sta.questions, question{
-		bid: sta.bid(stg), stage: stg, vms: vms[:min(len(vms), maxAdvised)], early: len(first) == 0 || stg.blockers > 0,
+	sta.advisorQueue = append(sta.advisorQueue, advisorQuery{
+		priorityKey: sta.priorityKey(stg), stage: stg, vms: vms[:min(len(vms), maxAdvised)], early: len(first) == 0 || stg.blockers > 0,
 	})
 }
 
-// question is one that is to be put to the advisor.
-type question struct {
-	bid   priority.Key
-	stage *stage
-	vms   []string
+// advisorQuery is one that is to be put to the advisor.
+type advisorQuery struct {
+	priorityKey priority.Key
+	stage       *stage
+	vms         []string
 	// early says that no task of the stage could start yet, for want of room or
 	// because other steps come first.
 	early bool
@@ -124,28 +124,28 @@
 // ask puts as many of the noted questions as there are free askers. Early ones
 // leave half of the askers to those that are urgent.
 func (sta *State) ask() {
-	slices.SortStableFunc(sta.questions, func(one, oth question) int {
+	slices.SortStableFunc(sta.advisorQueue, func(one, oth advisorQuery) int {
 		if one.early != oth.early {
 			return boolOrder(one.early)
 		}
-		return priority.Compare(sta.now, one.bid, oth.bid)
+		return priority.Compare(sta.now, one.priorityKey, oth.priorityKey)
 	})
-	for _, que := range sta.questions {
-		if sta.asking >= sta.askers || que.early && sta.asking >= (sta.askers+1)/2 {
+	for _, que := range sta.advisorQueue {
+		if sta.advisorInFlight >= sta.advisorSlots || que.early && sta.advisorInFlight >= (sta.advisorSlots+1)/2 {
 			break
 		}
-		sta.asking++
+		sta.advisorInFlight++
 		adv := &que.stage.advice
 		adv.busy, adv.askedAt = true, sta.now
-		liv := que.stage.live
+		liv := que.stage.liveJob
 		sta.emit(QueryAdvisor{Job: liv.spec.ID, Occurrence: que.stage.occ, Step: que.stage.index, VMs: que.vms, Latency: sta.adviceTime(liv.spec.Queue)})
 	}
-	sta.questions = nil
+	sta.advisorQueue = nil
 }
 
 // advised takes in the advisor's answer.
 func (sta *State) advised(evt AdvisorAnswered) {
-	sta.asking--
+	sta.advisorInFlight--
 	stg := sta.stageOf(job.Task{Job: evt.Job, Occurrence: evt.Occurrence, Step: evt.Step})
 	if stg == nil {
 		return
--- a/internal/core/scheduler/assign.go
+++ b/internal/core/scheduler/assign.go
@@ -10,8 +10,8 @@
 
 // waitingStage is a stage with tasks that wait for room.
 type waitingStage struct {
-	stage *stage
-	bid   priority.Key
+	stage       *stage
+	priorityKey priority.Key
 }
 
 // viewAge bounds how old the view of jobs may be to start tasks by it: a job may
@@ -21,14 +21,14 @@
 
 // assign starts tasks where there is room, in the order of priority.
 func (sta *State) assign() {
-	if sta.now.Sub(sta.confirmed) > viewAge {
+	if sta.now.Sub(sta.jobsSyncedAt) > viewAge {
 		return
 	}
-	unresolved := sta.unresolved()
+	formerRunsMayExist := sta.formerRunsMayExist()
 	pools := map[string][]waitingStage{}
 	var upcoming []*stage
 	for _, liv := range sta.jobList {
-		if liv.final != "" || liv.restored && unresolved {
+		if liv.final != "" || liv.restored && formerRunsMayExist {
 			continue
 		}
 		pool := sta.poolOf(liv)
@@ -44,50 +44,50 @@
 					}
 					continue
 				}
-				pools[pool] = append(pools[pool], waitingStage{stg, sta.bid(stg)})
+				pools[pool] = append(pools[pool], waitingStage{stg, sta.priorityKey(stg)})
 			}
 		}
 	}
 	for _, pool := range slices.Sorted(maps.Keys(pools)) {
 		waiting := pools[pool]
 		hosts := sta.usableHosts(pool)
-		slices.SortFunc(waiting, func(one, oth waitingStage) int { return priority.Compare(sta.now, one.bid, oth.bid) })
+		slices.SortFunc(waiting, func(one, oth waitingStage) int { return priority.Compare(sta.now, one.priorityKey, oth.priorityKey) })
 		for _, wai := range waiting {
 			sta.place(wai.stage, hosts)
 		}
 	}
 	for _, stg := range upcoming {
-		sta.wantAdvice(stg, sta.usableHosts(sta.poolOf(stg.live)))
+		sta.wantAdvice(stg, sta.usableHosts(sta.poolOf(stg.liveJob)))
 	}
 	sta.ask()
 }
 
 // poolOf returns the pool that runs a job's tasks. It outlasts the removal of
 // the job's queue.
-func (sta *State) poolOf(liv *live) string {
+func (sta *State) poolOf(liv *liveJob) string {
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
 		liv.pool = que.Pool
 	}
 	return liv.pool
 }
 
-func (sta *State) bid(stg *stage) priority.Key {
-	liv := stg.live
+func (sta *State) priorityKey(stg *stage) priority.Key {
+	liv := stg.liveJob
 	occ := liv.occs[stg.occ]
-	bid := priority.Key{IsLongRunning: stg.step.LongRunning, Excess: liv.excess, Job: string(liv.spec.ID)}
+	priorityKey := priority.Key{IsLongRunning: stg.step.LongRunning, Excess: liv.excess, Job: string(liv.spec.ID)}
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
-		bid.Priority = que.Priority
+		priorityKey.Priority = que.Priority
 	}
-	bid.Remaining = sta.chain(liv.spec, func(step int) bool { return occ.stages[step].left > 0 })
-	factor := sta.learned[liv.spec.Queue].factor()
+	priorityKey.Remaining = sta.chain(liv.spec, func(step int) bool { return occ.stages[step].left > 0 })
+	factor := sta.runtimeRatios[liv.spec.Queue].factor()
 	for i := range occ.stages {
-		bid.Work += occ.stages[i].work(factor)
+		priorityKey.Work += occ.stages[i].work(factor)
 	}
-	bid.Deadline = liv.deadline
+	priorityKey.Deadline = liv.deadline
 	if liv.spec.Occurrences > 0 {
-		bid.Deadline = liv.deadline.Add(liv.spec.Due(stg.occ).Sub(liv.spec.Accepted))
+		priorityKey.Deadline = liv.deadline.Add(liv.spec.Due(stg.occ).Sub(liv.spec.Accepted))
 	}
-	return bid
+	return priorityKey
 }
 
 // work returns the core-seconds that a stage has yet to do, by its estimates
@@ -137,7 +137,7 @@
 
 // underCap reports whether a client account may run n more tasks of a stage.
 func (sta *State) underCap(stg *stage, n int) bool {
-	acc := sta.catalog.Account(stg.live.spec.Account)
+	acc := sta.catalog.Account(stg.liveJob.spec.Account)
 	if acc == nil {
 		return true
 	}
@@ -152,11 +152,11 @@
 	name := stg.task(index)
 	tas := &stg.tasks[index]
 	if len(hos.runs) == 0 {
-		hos.nextLook = sta.now.Add(lookPause)
+		hos.nextPoll = sta.now.Add(minPollInterval)
 	}
-	sta.hold(hos, stg, name, run, runOrdered)
+	sta.reserve(hos, stg, name, run, runOrdered)
 	sta.emit(Start{
-		VM: hos.vm, Task: name, Run: run, Payload: stg.live.spec.Payload, Deadline: sta.deadline(hos),
+		VM: hos.vm, Task: name, Run: run, Payload: stg.liveJob.spec.Payload, Deadline: sta.extendLease(hos),
 		Checkpoint: tas.checkpoint, Ticket: stg.advice.valid(hos.vm.ID, sta.now),
 	})
 }
@@ -192,7 +192,7 @@
 	if ste.MaxPerVM > 0 && hos.count(stg)+planned >= ste.MaxPerVM {
 		return false
 	}
-	if sta.adviceFor(stg.live.spec.Queue) != nil && stg.advice.valid(hos.vm.ID, sta.now) == "" {
+	if sta.adviceFor(stg.liveJob.spec.Queue) != nil && stg.advice.valid(hos.vm.ID, sta.now) == "" {
 		return false
 	}
 	return true
@@ -201,7 +201,7 @@
 // count returns how many tasks of a stage a VM holds.
 func (hos *host) count(stg *stage) int {
 	n := 0
-	for _, hel := range hos.list {
+	for _, hel := range hos.runList {
 		if hel.stage == stg {
 			n++
 		}
@@ -241,7 +241,7 @@
 	if ste.LongRunning {
 		sco.siblings = hos.count(stg) + planned
 	}
-	for _, hel := range hos.list {
+	for _, hel := range hos.runList {
 		if hel.stage == nil {
 			continue
 		}
--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -80,8 +80,8 @@
 	dem.arrived, dem.updated = 0, now
 }
 
-// moving is a machine on its way to a pool.
-type moving struct {
+// pendingMove is a machine on its way to a pool.
+type pendingMove struct {
 	to string
 	// vm is the life that the move ended or will end.
 	vm    string
@@ -89,11 +89,11 @@
 }
 
 // arrive counts a job that was taken in towards its pool's demand.
-func (sta *State) arrive(liv *live) {
+func (sta *State) arrive(liv *liveJob) {
 	if liv.spec.IsLongRunning() || liv.restored {
 		return
 	}
-	sta.demandOf(sta.poolOf(liv)).arrived += liv.work * sta.learned[liv.spec.Queue].factor()
+	sta.demandOf(sta.poolOf(liv)).arrived += liv.work * sta.runtimeRatios[liv.spec.Queue].factor()
 }
 
 func (sta *State) demandOf(pool string) *demand {
@@ -107,23 +107,23 @@
 
 // planMoves orders the moves of machines that are due.
 func (sta *State) planMoves() {
-	if sta.now.Sub(sta.fleetAt) < fleetEvery || sta.machines.listed.IsZero() {
+	if sta.now.Sub(sta.movesPlannedAt) < fleetEvery || sta.machines.listed.IsZero() {
 		return
 	}
 	if !sta.maySteer() {
 		return
 	}
-	sta.fleetAt = sta.now
+	sta.movesPlannedAt = sta.now
 	pools := sta.fleetPools()
 	sta.notePools(pools)
-	moves := rebalance.Plan(pools, int(math.Ceil(sta.opt.MachineOrdersPerSecond*movesShare*fleetEvery.Seconds())), sta.spareMachines(pools), func(machine, pool string) bool { return !sta.barred[machine+" "+pool] })
+	moves := rebalance.Plan(pools, int(math.Ceil(sta.opt.MachineOrdersPerSecond*movesShare*fleetEvery.Seconds())), sta.spareMachines(pools), func(machine, pool string) bool { return !sta.forbiddenMoves[machine+" "+pool] })
 	for _, mov := range moves {
 		mac := sta.machines.byName[mov.Machine]
 		if hos := sta.hosts[mac.VM]; hos != nil {
 			hos.goingDown = true
 		}
-		sta.moves[mov.Machine] = moving{to: mov.To, vm: mac.VM, since: sta.now}
-		sta.note("move_ordered", "", map[string]any{"machine": mov.Machine, "from": mov.From, "to": mov.To})
+		sta.moves[mov.Machine] = pendingMove{to: mov.To, vm: mac.VM, since: sta.now}
+		sta.logDecision("move_ordered", "", map[string]any{"machine": mov.Machine, "from": mov.From, "to": mov.To})
 		sta.emit(Move{Machine: mov.Machine, Pool: mov.To})
 	}
 }
@@ -138,7 +138,7 @@
 			want += poo.Want
 		}
 	}
-	most := sta.total.want(sta.now, want, restTime)
+	most := sta.totalDemand.want(sta.now, want, restTime)
 	if sta.now.Sub(sta.opt.Since) < restTime {
 		return 0
 	}
@@ -147,15 +147,15 @@
 
 // notePools tells the log once a second what the pools have and want.
 func (sta *State) notePools(pools []rebalance.Pool) {
-	if sta.now.Sub(sta.poolsNoted) < time.Second {
+	if sta.now.Sub(sta.poolsLoggedAt) < time.Second {
 		return
 	}
-	sta.poolsNoted = sta.now
+	sta.poolsLoggedAt = sta.now
 	fields := map[string]any{}
 	for _, poo := range pools {
 		fields[poo.Name] = map[string]int{"have": poo.Have, "want": poo.Want, "keep": poo.Keep, "empty": len(poo.Empty)}
 	}
-	sta.note("pools", "", fields)
+	sta.logDecision("pools", "", fields)
 }
 
 // fleetPools describes the pools for the plan.
@@ -175,7 +175,7 @@
 		dem.average(sta.now)
 		cores, lasting, machineCores := 0.0, 0, 0.0
 		for _, hos := range sta.pools[poo.Name] {
-			if !hos.fenced && hos.failedLooks == 0 && !hos.vm.Leaving {
+			if !hos.fenced && hos.failedPolls == 0 && !hos.vm.Leaving {
 				flp.Have++
 			}
 			if !hos.usable(sta.now) || sta.zonesOut[hos.vm.AZ] {
@@ -188,8 +188,8 @@
 			if lasts > 0 {
 				lasting++
 			}
-			if name, ok := sta.machines.byVM[hos.vm.ID]; ok && len(hos.list) == 0 {
-				flp.Empty = append(flp.Empty, rebalance.IdleMachine{Machine: name, IdleFor: sta.now.Sub(hos.emptySince)})
+			if name, ok := sta.machines.byVM[hos.vm.ID]; ok && len(hos.runList) == 0 {
+				flp.Empty = append(flp.Empty, rebalance.IdleMachine{Machine: name, IdleFor: sta.now.Sub(hos.idleSince)})
 			}
 		}
 		cores += needed[poo.Name] + dem.rate*leadTime.Seconds()
@@ -229,7 +229,7 @@
 		if mac.Pool != pool || mac.State != worker.MachineUp || moves || sta.inUpkeep(name) {
 			continue
 		}
-		if hos := sta.hosts[mac.VM]; hos != nil && (hos.vm.Leaving || hos.cordoned || hos.goingDown || len(hos.list) > 0) {
+		if hos := sta.hosts[mac.VM]; hos != nil && (hos.vm.Leaving || hos.cordoned || hos.goingDown || len(hos.runList) > 0) {
 			continue
 		}
 		idle = append(idle, rebalance.IdleMachine{Machine: name})
@@ -271,7 +271,7 @@
 		if liv.final != "" || liv.spec.IsLongRunning() {
 			continue
 		}
-		factor := sta.learned[liv.spec.Queue].factor()
+		factor := sta.runtimeRatios[liv.spec.Queue].factor()
 		sum := 0.0
 		pool := sta.poolOf(liv)
 		for _, occ := range liv.occs {
@@ -295,7 +295,7 @@
 // lastingCores returns the cores of the tasks that last on a VM.
 func (hos *host) lastingCores() float64 {
 	sum := 0.0
-	for _, hel := range hos.list {
+	for _, hel := range hos.runList {
 		if hel.stage != nil && hel.stage.step.LongRunning {
 			sum += hel.stage.step.Reservation().Cores()
 		}
@@ -312,7 +312,7 @@
 	hos := sta.hosts[mov.vm]
 	switch evt.Result {
 	case worker.MachineOK:
-		sta.machines.wanted = true
+		sta.machines.refreshDue = true
 		if hos != nil {
 			hos.downAnswered = sta.now
 		}
@@ -326,7 +326,7 @@
 			sta.orderFailed(hos, evt.Result)
 		}
 		if evt.Result == worker.MachineInvalid {
-			sta.barred[evt.Machine+" "+mov.to] = true
+			sta.forbiddenMoves[evt.Machine+" "+mov.to] = true
 		}
 	}
 }
--- a/internal/core/scheduler/jobs.go
+++ b/internal/core/scheduler/jobs.go
@@ -14,7 +14,7 @@
 	if _, ended := sta.ended.get(id); ended || sta.jobs[id] != nil {
 		return
 	}
-	liv := &live{
+	liv := &liveJob{
 		spec: evt.Spec, revision: evt.Revision, occsLeft: evt.Spec.OccurrenceCount(),
 		progressRev: evt.ProgressRevision, work: evt.Spec.Work(),
 		restored: evt.Revision <= sta.opt.Revision,
@@ -30,11 +30,11 @@
 	}
 	sta.arrive(liv)
 	sta.countAllowance(liv)
-	sta.note("job_taken", id, map[string]any{"queue": evt.Spec.Queue, "account": evt.Spec.Account, "excess": liv.excess, "revision": evt.Revision, "age_ms": sta.now.Sub(evt.Spec.Accepted).Milliseconds()})
+	sta.logDecision("job_taken", id, map[string]any{"queue": evt.Spec.Queue, "account": evt.Spec.Account, "excess": liv.excess, "revision": evt.Revision, "age_ms": sta.now.Sub(evt.Spec.Accepted).Milliseconds()})
 }
 
 // countAllowance counts a job against what its account is entitled to.
-func (sta *State) countAllowance(liv *live) {
+func (sta *State) countAllowance(liv *liveJob) {
 	acc := sta.catalog.Account(liv.spec.Account)
 	if acc == nil || liv.spec.IsLongRunning() || liv.restored {
 		return
@@ -46,7 +46,7 @@
 
 // setDeadline works out the latency objective: the queue's slack times the
 // longest chain of steps, and its target.
-func (sta *State) setDeadline(liv *live) {
+func (sta *State) setDeadline(liv *liveJob) {
 	objective := sta.chain(liv.spec, nil)
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
 		objective = que.Objective(objective)
@@ -57,19 +57,19 @@
 // chain returns the longest chain of those steps that count, by what was learned
 // of the queue's estimates.
 func (sta *State) chain(spe job.Spec, counts func(step int) bool) time.Duration {
-	factor := sta.learned[spe.Queue].factor()
+	factor := sta.runtimeRatios[spe.Queue].factor()
 	return spe.CriticalPath(counts, func(ste job.Step) time.Duration {
 		return time.Duration(float64(ste.Estimate)*factor) + sta.adviceTime(spe.Queue)
 	})
 }
 
 // openOccurrence makes the next occurrence's tasks.
-func (sta *State) openOccurrence(liv *live) {
+func (sta *State) openOccurrence(liv *liveJob) {
 	occ := &occurrence{stages: make([]stage, len(liv.spec.Steps)), left: len(liv.spec.Steps)}
 	for i := range liv.spec.Steps {
 		ste := &liv.spec.Steps[i]
 		occ.stages[i] = stage{
-			live: liv, occ: len(liv.occs), index: i, step: ste, tasks: make([]task, ste.Count),
+			liveJob: liv, occ: len(liv.occs), index: i, step: ste, tasks: make([]task, ste.Count),
 			blockers: len(ste.After), waiting: ste.Count, left: ste.Count,
 		}
 		for j := range occ.stages[i].tasks {
@@ -89,9 +89,9 @@
 }
 
 // restore takes in what a former dispatcher stored of a task.
-func (sta *State) restore(liv *live, rec job.TaskRecord) {
+func (sta *State) restore(liv *liveJob, rec job.TaskRecord) {
 	if rec.Occurrence >= liv.spec.OccurrenceCount() || rec.Step >= len(liv.spec.Steps) || rec.Index >= liv.spec.Steps[rec.Step].Count {
-		sta.note("progress_ignored", liv.spec.ID, map[string]any{"occurrence": rec.Occurrence, "step": rec.Step, "index": rec.Index})
+		sta.logDecision("progress_ignored", liv.spec.ID, map[string]any{"occurrence": rec.Occurrence, "step": rec.Step, "index": rec.Index})
 		return
 	}
 	for len(liv.occs) <= rec.Occurrence {
@@ -137,7 +137,7 @@
 	if stg.left > 0 {
 		return
 	}
-	occ := stg.live.occs[stg.occ]
+	occ := stg.liveJob.occs[stg.occ]
 	occ.left--
 	for i := range occ.stages {
 		for _, dep := range occ.stages[i].step.After {
@@ -147,21 +147,21 @@
 		}
 	}
 	if occ.left == 0 {
-		stg.live.occsLeft--
-		if stg.live.occsLeft == 0 {
-			sta.finish(stg.live, job.StateCompleted)
+		stg.liveJob.occsLeft--
+		if stg.liveJob.occsLeft == 0 {
+			sta.finish(stg.liveJob, job.StateCompleted)
 		}
 	}
 }
 
 // finish decides the state in which a job ends.
-func (sta *State) finish(liv *live, state job.State) {
+func (sta *State) finish(liv *liveJob, state job.State) {
 	if liv.final != "" {
 		return
 	}
 	liv.final = state
 	sta.touch(liv)
-	sta.note("job_ended", liv.spec.ID, map[string]any{
+	sta.logDecision("job_ended", liv.spec.ID, map[string]any{
 		"state": state, "queue": liv.spec.Queue, "age_ms": sta.now.Sub(liv.spec.Accepted).Milliseconds(),
 		"late_ms": sta.now.Sub(liv.deadline).Milliseconds(),
 	})
@@ -179,7 +179,7 @@
 }
 
 // stopAll stops all runs of a job.
-func (sta *State) stopAll(liv *live) {
+func (sta *State) stopAll(liv *liveJob) {
 	for _, occ := range liv.occs {
 		for i := range occ.stages {
 			stg := &occ.stages[i]
@@ -193,7 +193,7 @@
 }
 
 // touch notes that a job has something to store.
-func (sta *State) touch(liv *live) {
+func (sta *State) touch(liv *liveJob) {
 	if liv.dirtySince.IsZero() {
 		liv.dirtySince = sta.now
 	}
@@ -205,18 +205,18 @@
 	started := time.Time{}
 	if hel != nil && hel.run == end.Run {
 		started = hel.since
-		sta.drop(hos, hel)
+		sta.release(hos, hel)
 	}
 	stg := sta.stageOf(end.Task)
 	if stg == nil {
-		sta.ackable(hos, end.Number)
+		sta.markAckable(hos, end.Number)
 		return
 	}
-	if stg.live.final != "" {
-		sta.store(stg.live, hos, end.Number)
+	if stg.liveJob.final != "" {
+		sta.store(stg.liveJob, hos, end.Number)
 		return
 	}
-	stg.live.begun = true
+	stg.liveJob.begun = true
 	tas := &stg.tasks[end.Task.Index]
 	tas.run = max(tas.run, end.Run)
 	if end.Checkpoint != "" {
@@ -224,28 +224,28 @@
 	}
 	switch {
 	case stg.step.LongRunning:
-		sta.note("lasting_task_ended", end.Task.Job, map[string]any{"task": end.Task.String(), "run": end.Run, "vm": hos.vm.ID, "kind": end.Kind})
-		sta.ackable(hos, end.Number)
+		sta.logDecision("lasting_task_ended", end.Task.Job, map[string]any{"task": end.Task.String(), "run": end.Run, "vm": hos.vm.ID, "kind": end.Kind})
+		sta.markAckable(hos, end.Number)
 		return
 	case tas.phase == phaseDone && end.Kind == worker.EndDone:
 		// A VM that came back lists ends again that may not be stored yet.
-		sta.store(stg.live, hos, end.Number)
+		sta.store(stg.liveJob, hos, end.Number)
 		return
 	case tas.phase == phaseDone:
-		sta.ackable(hos, end.Number)
+		sta.markAckable(hos, end.Number)
 		return
 	}
 	switch end.Kind {
 	case worker.EndDone:
 		sta.learn(stg, started)
 		hos.failures = 0
-		sta.store(stg.live, hos, end.Number)
+		sta.store(stg.liveJob, hos, end.Number)
 		sta.endOthers(stg, end.Task)
 		sta.markDone(stg, end.Task.Index)
 	case worker.EndFailed:
 		sta.taskFailed(stg, hos, end)
 	default:
-		sta.ackable(hos, end.Number)
+		sta.markAckable(hos, end.Number)
 	}
 	if stg.step.Gang {
 		sta.endGang(stg, end)
@@ -253,7 +253,7 @@
 }
 
 // store notes that an end is acknowledged once the job's record is stored.
-func (sta *State) store(liv *live, hos *host, number int64) {
+func (sta *State) store(liv *liveJob, hos *host, number int64) {
 	liv.acks = append(liv.acks, ack{hos, number})
 	sta.touch(liv)
 }
@@ -266,14 +266,14 @@
 		tas.failedRuns = append(slices.Clip(tas.failedRuns), end.Run)
 		sta.suspect(hos)
 	}
-	sta.store(stg.live, hos, end.Number)
+	sta.store(stg.liveJob, hos, end.Number)
 	attempts := 1
-	if que := sta.catalog.Queue(stg.live.spec.Queue); que != nil {
+	if que := sta.catalog.Queue(stg.liveJob.spec.Queue); que != nil {
 		attempts = que.MaxAttempts
 	}
-	sta.note("task_failed", end.Task.Job, map[string]any{"task": end.Task.String(), "run": end.Run, "vm": hos.vm.ID, "failed": len(tas.failedRuns), "attempts": attempts})
+	sta.logDecision("task_failed", end.Task.Job, map[string]any{"task": end.Task.String(), "run": end.Run, "vm": hos.vm.ID, "failed": len(tas.failedRuns), "attempts": attempts})
 	if len(tas.failedRuns) >= attempts {
-		sta.finish(stg.live, job.StateFailed)
+		sta.finish(stg.liveJob, job.StateFailed)
 	}
 }
 
@@ -295,8 +295,8 @@
 		return
 	}
 	pause := min(maxQuarantine, quarantineTime<<min(hos.failures-maxFailures, 5))
-	hos.quarantine = sta.now.Add(pause)
-	sta.note("vm_quarantined", "", map[string]any{"vm": hos.vm.ID, "failures": hos.failures, "pause_ms": pause.Milliseconds()})
+	hos.quarantinedUntil = sta.now.Add(pause)
+	sta.logDecision("vm_quarantined", "", map[string]any{"vm": hos.vm.ID, "failures": hos.failures, "pause_ms": pause.Milliseconds()})
 }
 
 // learn compares a run's time with the estimate.
@@ -304,11 +304,11 @@
 	if started.IsZero() || stg.step.Estimate <= 0 || stg.step.Checkpointing {
 		return
 	}
-	queue := stg.live.spec.Queue
-	rat := sta.learned[queue]
+	queue := stg.liveJob.spec.Queue
+	rat := sta.runtimeRatios[queue]
 	if rat == nil {
-		rat = &ratio{}
-		sta.learned[queue] = rat
+		rat = &runtimeRatio{}
+		sta.runtimeRatios[queue] = rat
 	}
 	rat.add(sta.now.Sub(started).Seconds() / stg.step.Estimate.Seconds())
 }
--- a/internal/core/scheduler/load.go
+++ b/internal/core/scheduler/load.go
@@ -73,7 +73,7 @@
 		if liv.final != "" || liv.spec.IsLongRunning() {
 			continue
 		}
-		factor := sta.learned[liv.spec.Queue].factor()
+		factor := sta.runtimeRatios[liv.spec.Queue].factor()
 		pool := sta.poolOf(liv)
 		for _, occ := range liv.occs {
 			for i := range occ.stages {
@@ -126,7 +126,7 @@
 			}
 		}
 	}
-	return sum / time.Duration(max(1, sta.askers))
+	return sum / time.Duration(max(1, sta.advisorSlots))
 }
 
 // Admit decides whether a queue takes another job. The reason is empty if it
--- a/internal/core/scheduler/orders.go
+++ b/internal/core/scheduler/orders.go
@@ -18,7 +18,7 @@
 
 // stop has a run stopped. It keeps its room until the VM lists its end or has
 // rejected it.
-func (sta *State) stop(hel *held) {
+func (sta *State) stop(hel *placement) {
 	if hel == nil || hel.state == runStopping || hel.state == runRejected {
 		return
 	}
@@ -31,12 +31,12 @@
 		if !hos.fenced {
 			continue
 		}
-		for _, hel := range hos.list {
+		for _, hel := range hos.runList {
 			due := hel.state == runStopping || hel.state == runRejected && sta.now.Sub(hel.since) > stopRetry+sta.opt.StopTime
-			if !due || hel.stopBusy || sta.now.Sub(hel.stopSent) < stopRetry {
+			if !due || hel.stopInFlight || sta.now.Sub(hel.stopSent) < stopRetry {
 				continue
 			}
-			hel.stopSent, hel.stopBusy = sta.now, true
+			hel.stopSent, hel.stopInFlight = sta.now, true
 			sta.emit(Stop{VM: hos.vm, Task: hel.task, Run: hel.run})
 		}
 	}
@@ -49,17 +49,17 @@
 	if hel == nil || hel.run != evt.Run {
 		return
 	}
-	hel.stopBusy = false
+	hel.stopInFlight = false
 	switch evt.Result {
 	case worker.ResultOK, worker.ResultOldRun:
 		if hel.state == runStopping {
 			hel.state, hel.since = runRejected, sta.now
-			hos.nextLook = sta.now
+			hos.nextPoll = sta.now
 		}
 	case worker.ResultFenced:
-		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
 	case worker.ResultOtherIncarnation:
-		sta.lose(hos, "another life answers at its address")
+		sta.removeHost(hos, "another life answers at its address")
 	}
 }
 
@@ -72,15 +72,15 @@
 	}
 	switch evt.Result {
 	case worker.ResultOK:
-		hel.confirm(runRunning, sta.now)
+		hel.setState(runRunning, sta.now)
 	case worker.ResultUnknown:
 		hel.state, hel.since = runUnknown, sta.now
-		hos.nextLook = sta.now
+		hos.nextPoll = sta.now
 	default:
 		sta.startRefused(hos, hel, evt.Result)
 	}
 	if evt.Result != worker.ResultOK {
-		sta.note("start_refused", evt.Task.Job, map[string]any{"task": evt.Task.String(), "run": evt.Run, "vm": hos.vm.ID, "result": evt.Result.String()})
+		sta.logDecision("start_refused", evt.Task.Job, map[string]any{"task": evt.Task.String(), "run": evt.Run, "vm": hos.vm.ID, "result": evt.Result.String()})
 	}
 }
 
@@ -89,30 +89,30 @@
 func (sta *State) startAfterwards(hos *host, evt StartAnswered) {
 	switch evt.Result {
 	case worker.ResultFenced:
-		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
 	case worker.ResultOtherIncarnation:
-		sta.lose(hos, "another life answers at its address")
+		sta.removeHost(hos, "another life answers at its address")
 	}
 }
 
 // startRefused takes in that a VM did not start a run, and never will.
-func (sta *State) startRefused(hos *host, hel *held, res worker.Result) {
+func (sta *State) startRefused(hos *host, hel *placement, res worker.Result) {
 	stg, name := hel.stage, hel.task
 	switch res {
 	case worker.ResultFenced:
-		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
 		return
 	case worker.ResultOtherIncarnation:
-		sta.lose(hos, "another life answers at its address")
+		sta.removeHost(hos, "another life answers at its address")
 	default:
-		sta.drop(hos, hel)
+		sta.release(hos, hel)
 	}
 	switch res {
 	case worker.ResultNoRoom, worker.ResultLate:
-		hos.quarantine = sta.now.Add(startRetry)
-		hos.nextLook, hos.reportDue = sta.now, true
+		hos.quarantinedUntil = sta.now.Add(startRetry)
+		hos.nextPoll, hos.reportDue = sta.now, true
 	case worker.ResultUnhealthy:
-		hos.quarantine = sta.now.Add(unhealthyPause)
+		hos.quarantinedUntil = sta.now.Add(unhealthyPause)
 	case worker.ResultNoTicket:
 		if stg != nil {
 			// The VM may not have been asked about, or the ticket has expired.
--- a/internal/core/scheduler/pace.go
+++ b/internal/core/scheduler/pace.go
@@ -6,7 +6,7 @@
 // whether tasks both serve and fill there.
 func (hos *host) tailRatio() (ratio float64, mixed bool) {
 	serves, fills := false, false
-	for _, hel := range hos.list {
+	for _, hel := range hos.runList {
 		if hel.stage == nil {
 			continue
 		}
@@ -32,13 +32,13 @@
 	before := hos.pace.Percent
 	hos.pace = hos.pace.WithTailRatio(sta.now, ratio)
 	if hos.pace.Percent != before {
-		sta.note("pace_changed", "", map[string]any{"vm": hos.vm.ID, "percent": hos.pace.Percent, "tail_ratio": ratio})
+		sta.logDecision("pace_changed", "", map[string]any{"vm": hos.vm.ID, "percent": hos.pace.Percent, "tail_ratio": ratio})
 	}
-	for _, hel := range hos.list {
-		if hel.stage == nil || !hel.stage.step.Fills || hel.state != runRunning || hel.pace == hos.pace.Percent || hel.paceBusy {
+	for _, hel := range hos.runList {
+		if hel.stage == nil || !hel.stage.step.Fills || hel.state != runRunning || hel.pace == hos.pace.Percent || hel.paceInFlight {
 			continue
 		}
-		hel.paceBusy = true
+		hel.paceInFlight = true
 		sta.emit(Pace{VM: hos.vm, Task: hel.task, Run: hel.run, Percent: hos.pace.Percent})
 	}
 }
@@ -49,11 +49,11 @@
 	if hel == nil {
 		return
 	}
-	hel.paceBusy = false
+	hel.paceInFlight = false
 	switch evt.Result {
 	case worker.ResultOK:
 		hel.pace = evt.Percent
 	case worker.ResultFenced:
-		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
 	}
 }
--- a/internal/core/scheduler/recent.go
+++ b/internal/core/scheduler/recent.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// recentTime is for how long at least a recent map keeps its entries. Events
+// minRetention is for how long at least a recent map keeps its entries. Events
 // that come late are seconds late.
-const recentTime = time.Minute
+const minRetention = time.Minute
 
-// recent keeps entries for between one and two times recentTime.
-type recent[K comparable, V any] struct {
-	present, former map[K]V
-	turned          time.Time
+// recentMap keeps entries for between one and two times recentTime.
+type recentMap[K comparable, V any] struct {
+	current, previous map[K]V
+	rotatedAt         time.Time
 }
 
-func newRecent[K comparable, V any]() *recent[K, V] { return &recent[K, V]{present: map[K]V{}} }
+func newRecentMap[K comparable, V any]() *recentMap[K, V] {
+	return &recentMap[K, V]{current: map[K]V{}}
+}
 
-func (rec *recent[K, V]) put(now time.Time, key K, val V) {
-	if now.Sub(rec.turned) > recentTime {
-		rec.former, rec.present, rec.turned = rec.present, map[K]V{}, now
+func (rec *recentMap[K, V]) put(now time.Time, key K, val V) {
+	if now.Sub(rec.rotatedAt) > minRetention {
+		rec.previous, rec.current, rec.rotatedAt = rec.current, map[K]V{}, now
 	}
-	rec.present[key] = val
+	rec.current[key] = val
 }
 
-func (rec *recent[K, V]) get(key K) (val V, ok bool) {
-	if val, ok = rec.present[key]; ok {
+func (rec *recentMap[K, V]) get(key K) (val V, ok bool) {
+	if val, ok = rec.current[key]; ok {
 		return val, true
 	}
-	val, ok = rec.former[key]
+	val, ok = rec.previous[key]
 	return val, ok
 }
 
-func (rec *recent[K, V]) remove(key K) {
-	delete(rec.present, key)
-	delete(rec.former, key)
+func (rec *recentMap[K, V]) remove(key K) {
+	delete(rec.current, key)
+	delete(rec.previous, key)
 }
--- a/internal/core/scheduler/recent_test.go
+++ b/internal/core/scheduler/recent_test.go
@@ -10,14 +10,14 @@
 // TestRecent keeps entries for a while and not for ever.
 func TestRecent(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
-	rec := newRecent[int, bool]()
+	rec := newRecentMap[int, bool]()
 	for i := range 1000 {
 		rec.put(now.Add(time.Duration(i)*time.Second), i, true)
 	}
 	_, old := rec.get(100)
 	_, young := rec.get(999 - 55)
 	assert.Assert(t, !old && young)
-	assert.Assert(t, len(rec.present)+len(rec.former) <= 125)
+	assert.Assert(t, len(rec.current)+len(rec.previous) <= 125)
 	rec.remove(999)
 	_, gone := rec.get(999)
 	assert.Assert(t, !gone)
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -12,15 +12,15 @@
 	sta.now = now
 	sta.effects = nil
 	for _, evt := range events {
-		if sta.gaveUp {
+		if sta.steppedDown {
 			return sta.effects
 		}
 		sta.handle(evt)
 	}
-	if sta.gaveUp {
+	if sta.steppedDown {
 		return sta.effects
 	}
-	sta.expire()
+	sta.expireLeases()
 	sta.dueOccurrences()
 	if sta.loaded {
 		sta.planWaves()
@@ -28,7 +28,7 @@
 		sta.assign()
 	}
 	sta.pursueStops()
-	sta.look()
+	sta.pollHosts()
 	sta.save()
 	sta.listMachines()
 	return sta.effects
@@ -74,11 +74,11 @@
 	case AdvisorAnswered:
 		sta.advised(evt)
 	case AdvisorSlotsChanged:
-		sta.askers = evt.Count
+		sta.advisorSlots = evt.Count
 	case EndedJobsListed:
 		sta.endedListed(evt)
 	case JobWatchProgressed:
-		sta.confirmed = evt.At
+		sta.jobsSyncedAt = evt.At
 	default:
 		sta.handleAnswer(evt)
 	}
@@ -89,7 +89,7 @@
 	switch evt := evt.(type) {
 	case PollAnswered:
 		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameIncarnation(evt.VM) {
-			sta.looked(hos, evt)
+			sta.pollAnswered(hos, evt)
 		}
 	case StartAnswered:
 		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameIncarnation(evt.VM) {
@@ -108,13 +108,13 @@
 	}
 }
 
-func (sta *State) giveUp(reason string) {
-	sta.gaveUp = true
+func (sta *State) stepDown(reason string) {
+	sta.steppedDown = true
 	sta.emit(StepDown{Reason: reason})
 }
 
-// indexPools sorts the hosts, and into their pools.
-func (sta *State) indexPools() {
+// indexHosts sorts the hosts, and into their pools.
+func (sta *State) indexHosts() {
 	pools := make(map[string][]*host, len(sta.pools))
 	sta.hostList = make([]*host, 0, len(sta.hosts))
 	for _, id := range slices.Sorted(maps.Keys(sta.hosts)) {
--- a/internal/core/scheduler/retire.go
+++ b/internal/core/scheduler/retire.go
@@ -28,19 +28,19 @@
 
 // endedListed takes in the jobs that former dispatchers stored as ended.
 func (sta *State) endedListed(evt EndedJobsListed) {
-	sta.retiring = append(sta.retiring, evt.Jobs...)
-	slices.SortStableFunc(sta.retiring, func(one, oth EndedJob) int { return one.At.Compare(oth.At) })
+	sta.endedJobs = append(sta.endedJobs, evt.Jobs...)
+	slices.SortStableFunc(sta.endedJobs, func(one, oth EndedJob) int { return one.At.Compare(oth.At) })
 }
 
 // retire adds the removal of old records to a transaction, and returns how many.
 func (sta *State) retire(txn *kv.Txn) (count int) {
 	due := sta.now.Add(-sta.opt.KeepEnded - retireMargin)
-	count, _ = slices.BinarySearchFunc(sta.retiring, due, func(one EndedJob, due time.Time) int { return one.At.Compare(due) })
-	if count == 0 || count < retireBatch && due.Sub(sta.retiring[0].At) < retireDelay {
+	count, _ = slices.BinarySearchFunc(sta.endedJobs, due, func(one EndedJob, due time.Time) int { return one.At.Compare(due) })
+	if count == 0 || count < retireBatch && due.Sub(sta.endedJobs[0].At) < retireDelay {
 		return 0
 	}
 	count = min(count, kv.MaxTxnEntries-entriesReserved-txn.Len())
-	for _, end := range sta.retiring[:max(0, count)] {
+	for _, end := range sta.endedJobs[:max(0, count)] {
 		txn.Deletes = append(txn.Deletes, job.EndedKey(end.ID))
 	}
 	return max(0, count)
@@ -48,5 +48,5 @@
 
 // retired takes in that records were removed.
 func (sta *State) retired(count int) {
-	sta.retiring = slices.Clone(sta.retiring[count:])
+	sta.endedJobs = slices.Clone(sta.endedJobs[count:])
 }
--- a/internal/core/scheduler/save.go
+++ b/internal/core/scheduler/save.go
@@ -29,7 +29,7 @@
 
 // save writes what has to be stored, as much as a transaction holds.
 func (sta *State) save() {
-	if sta.commit.busy || sta.now.Before(sta.commit.retryAt) {
+	if sta.commit.inFlight || sta.now.Before(sta.commit.retryAt) {
 		return
 	}
 	var txn kv.Txn
@@ -53,12 +53,12 @@
 	if len(writes) == 0 && retired == 0 {
 		return
 	}
-	sta.commit = commit{busy: true, jobs: writes, retired: retired}
+	sta.commit = commit{inFlight: true, jobs: writes, purged: retired}
 	sta.emit(Commit{Txn: txn})
 }
 
 // write adds a job's record to a transaction.
-func (sta *State) write(txn *kv.Txn, liv *live) (wri jobWrite, ok bool) {
+func (sta *State) write(txn *kv.Txn, liv *liveJob) (wri jobWrite, ok bool) {
 	id := liv.spec.ID
 	var value []byte
 	var err error
@@ -68,10 +68,10 @@
 		value, err = job.Marshal(liv.progress())
 	}
 	if err != nil {
-		sta.note("record_not_encoded", id, map[string]any{"error": err.Error()})
+		sta.logDecision("record_not_encoded", id, map[string]any{"error": err.Error()})
 		return jobWrite{}, false
 	}
-	wri = jobWrite{live: liv, acks: liv.acks, final: liv.final != ""}
+	wri = jobWrite{liveJob: liv, acks: liv.acks, final: liv.final != ""}
 	liv.acks, liv.dirtySince = nil, time.Time{}
 	txn.Conditions = append(txn.Conditions, kv.Condition{Key: job.ProgressKey(id), Revision: liv.progressRev})
 	if !wri.final {
@@ -85,7 +85,7 @@
 }
 
 // progress returns what must outlast the dispatcher.
-func (liv *live) progress() job.Progress {
+func (liv *liveJob) progress() job.Progress {
 	var pro job.Progress
 	for num, occ := range liv.occs {
 		for i := range occ.stages {
@@ -108,7 +108,7 @@
 
 // committed takes in the answer to a write.
 func (sta *State) committed(evt Committed) {
-	writes, retired := sta.commit.jobs, sta.commit.retired
+	writes, retired := sta.commit.jobs, sta.commit.purged
 	sta.commit = commit{}
 	var con *kv.ConflictError
 	switch {
@@ -123,7 +123,7 @@
 		}
 	default:
 		sta.commit.retryAt = sta.now.Add(saveRetry)
-		sta.note("write_failed", "", map[string]any{"jobs": len(writes), "error": evt.Err.Error()})
+		sta.logDecision("write_failed", "", map[string]any{"jobs": len(writes), "error": evt.Err.Error()})
 		for _, wri := range writes {
 			sta.rewrite(wri)
 		}
@@ -132,42 +132,42 @@
 
 func (sta *State) written(wri jobWrite, rev kv.Revision) {
 	for _, ack := range wri.acks {
-		sta.ackable(ack.host, ack.number)
+		sta.markAckable(ack.host, ack.number)
 	}
-	wri.live.progressRev = rev
+	wri.liveJob.progressRev = rev
 	if !wri.final {
 		return
 	}
 	// Ends that came while the record was being written need no other one.
-	for _, ack := range wri.live.acks {
-		sta.ackable(ack.host, ack.number)
+	for _, ack := range wri.liveJob.acks {
+		sta.markAckable(ack.host, ack.number)
 	}
-	sta.forget(wri.live)
+	sta.forget(wri.liveJob)
 }
 
 // conflicted takes in that a write failed for a condition: a former write of
 // the same job, whose answer was lost, has taken effect.
 func (sta *State) conflicted(wri jobWrite, con *kv.ConflictError) {
-	id := wri.live.spec.ID
+	id := wri.liveJob.spec.ID
 	if wri.final && con.Item(job.EndedKey(id)).Revision != 0 {
 		sta.written(wri, con.Item(job.EndedKey(id)).Revision)
 		return
 	}
-	wri.live.progressRev = con.Item(job.ProgressKey(id)).Revision
+	wri.liveJob.progressRev = con.Item(job.ProgressKey(id)).Revision
 	sta.rewrite(wri)
 }
 
 // rewrite has a job stored again.
 func (sta *State) rewrite(wri jobWrite) {
-	wri.live.acks = append(wri.acks, wri.live.acks...)
-	wri.live.dirtySince = sta.now.Add(-saveDelay)
+	wri.liveJob.acks = append(wri.acks, wri.liveJob.acks...)
+	wri.liveJob.dirtySince = sta.now.Add(-saveDelay)
 }
 
 // forget removes a job that is stored as ended. Its runs are still stopped.
-func (sta *State) forget(liv *live) {
+func (sta *State) forget(liv *liveJob) {
 	id := liv.spec.ID
 	delete(sta.jobs, id)
-	sta.jobList = slices.DeleteFunc(sta.jobList, func(oth *live) bool { return oth == liv })
+	sta.jobList = slices.DeleteFunc(sta.jobList, func(oth *liveJob) bool { return oth == liv })
 	sta.ended.put(sta.now, id, true)
-	sta.retiring = append(sta.retiring, EndedJob{ID: id, At: sta.now})
+	sta.endedJobs = append(sta.endedJobs, EndedJob{ID: id, At: sta.now})
 }
--- a/internal/core/scheduler/schedule_test.go
+++ b/internal/core/scheduler/schedule_test.go
@@ -160,9 +160,9 @@
 			emu.fail("%s lists %d ends that are not acknowledged, the first is %v", hos.vm.ID, len(vm.ends), vm.ends[0])
 		}
 		used := job.Size{}
-		for _, hel := range hos.list {
-			used = used.Plus(hel.room)
-			usage[hel.owner] = usage[hel.owner].Plus(hel.size)
+		for _, hel := range hos.runList {
+			used = used.Plus(hel.reserved)
+			usage[hel.account] = usage[hel.account].Plus(hel.size)
 			if hos.runs[hel.task] != hel {
 				emu.fail("%s holds run %d of %s beside another one", hos.vm.ID, hel.run, hel.task)
 			}
--- a/internal/core/scheduler/stale_test.go
+++ b/internal/core/scheduler/stale_test.go
@@ -57,8 +57,8 @@
 	assert.Assert(t, len(starts) > 0, "the task is not started again")
 	held := 0
 	for _, hos := range sta.hostList {
-		held += len(hos.list)
-		assert.Equal(t, len(hos.list), len(hos.runs), "runs on %s", hos.vm.ID)
+		held += len(hos.runList)
+		assert.Equal(t, len(hos.runList), len(hos.runs), "runs on %s", hos.vm.ID)
 	}
 	assert.Equal(t, held, 1)
 }
--- a/internal/core/scheduler/state.go
+++ b/internal/core/scheduler/state.go
@@ -46,8 +46,8 @@
 const (
 	// phaseWaiting tasks have no run.
 	phaseWaiting phase = iota
-	// phaseHeld tasks have a run that may be running on a VM.
-	phaseHeld
+	// phasePlaced tasks have a run that may be running on a VM.
+	phasePlaced
 	phaseDone
 )
 
@@ -67,11 +67,11 @@
 
 // stage is a step of one occurrence.
 type stage struct {
-	live  *live
-	occ   int
-	index int
-	step  *job.Step
-	tasks []task
+	liveJob *liveJob
+	occ     int
+	index   int
+	step    *job.Step
+	tasks   []task
 	// blockers is how many steps must end before this one.
 	blockers int
 	// waiting and left count the tasks without a run, and those not done.
@@ -81,7 +81,7 @@
 
 // task names a task of the stage.
 func (stg *stage) task(index int) job.Task {
-	return job.Task{Job: stg.live.spec.ID, Occurrence: stg.occ, Step: stg.index, Index: index}
+	return job.Task{Job: stg.liveJob.spec.ID, Occurrence: stg.occ, Step: stg.index, Index: index}
 }
 
 type occurrence struct {
@@ -90,8 +90,8 @@
 	left int
 }
 
-// live is a job that hasn't ended.
-type live struct {
+// liveJob is a job that hasn't ended.
+type liveJob struct {
 	spec     job.Spec
 	revision kv.Revision
 	// occs holds the occurrences that are due.
@@ -140,14 +140,14 @@
 	runRejected
 )
 
-// held is a run that may be running on a VM. It takes room.
-type held struct {
-	task  job.Task
-	run   int
-	room  job.Size
-	size  job.Size
-	owner string
-	state runState
+// placement is a run that may be running on a VM. It takes room.
+type placement struct {
+	task     job.Task
+	run      int
+	reserved job.Size
+	size     job.Size
+	account  string
+	state    runState
 	// stage is nil for runs of jobs that are not known.
 	stage *stage
 	// since is when the state was entered.
@@ -156,38 +156,38 @@
 	percent int
 	load    int64
 	// pace is the share of its speed that it was last ordered, in percent.
-	pace       int
-	paceBusy   bool
-	checkpoint string
+	pace         int
+	paceInFlight bool
+	checkpoint   string
 	// stopSent is when a stop was last sent; stopBusy says that its answer is
 	// awaited.
-	stopSent time.Time
-	stopBusy bool
+	stopSent     time.Time
+	stopInFlight bool
 }
 
 // host is one life of a VM with what may be running there.
 type host struct {
 	vm worker.VM
-	// found is when the registration was first seen.
-	found time.Time
+	// firstSeen is when the registration was first seen.
+	firstSeen time.Time
 	// fenced says that the VM has answered a look of this term.
 	fenced bool
 	// clock is the VM's clock at clockAt.
 	clock   time.Duration
 	clockAt time.Time
-	runs    map[job.Task]*held
-	// list holds the runs in the order in which they were noted.
-	list []*held
-	used job.Size
-	// lapse is when everything there has surely ended, unless it is looked at
+	runs    map[job.Task]*placement
+	// runList holds the runs in the order in which they were noted.
+	runList []*placement
+	used    job.Size
+	// leaseExpiry is when everything there has surely ended, unless it is looked at
 	// again.
-	lapse time.Time
-	// looking says that the answer to a look is awaited.
-	looking  bool
-	lastLook time.Time
-	nextLook time.Time
-	// failedLooks counts the looks without an answer since the last one.
-	failedLooks int
+	leaseExpiry time.Time
+	// pollInFlight says that the answer to a look is awaited.
+	pollInFlight bool
+	lastPoll     time.Time
+	nextPoll     time.Time
+	// failedPolls counts the looks without an answer since the last one.
+	failedPolls int
 	// seen is the highest end that was taken in; acked the highest up to which
 	// all ends are stored; stored holds those above it that are.
 	seen, acked int64
@@ -206,24 +206,24 @@
 	// downAnswered is when the order's answer came. The list of machines tells
 	// whether it had an effect: an order that was carried out before has none.
 	downAnswered time.Time
-	// quarantine is until when it gets no new tasks, for it failed some.
-	quarantine time.Time
-	// emptySince is when the last run there was over.
-	emptySince time.Time
-	failures   int
+	// quarantinedUntil is until when it gets no new tasks, for it failed some.
+	quarantinedUntil time.Time
+	// idleSince is when the last run there was over.
+	idleSince time.Time
+	failures  int
 	// pace is that of the tasks that fill.
 	pace pace.Control
 }
 
 // usable reports whether new tasks may start there.
 func (hos *host) usable(now time.Time) bool {
-	return hos.fenced && !hos.unregistered && !hos.vm.Leaving && !hos.cordoned && !hos.goingDown && hos.failedLooks == 0 && !now.Before(hos.quarantine) && !hos.holdsStrangers()
+	return hos.fenced && !hos.unregistered && !hos.vm.Leaving && !hos.cordoned && !hos.goingDown && hos.failedPolls == 0 && !now.Before(hos.quarantinedUntil) && !hos.hasOrphanRuns()
 }
 
-// holdsStrangers reports whether the VM holds runs of jobs that are not known.
+// hasOrphanRuns reports whether the VM holds runs of jobs that are not known.
 // The room that they take is not known either.
-func (hos *host) holdsStrangers() bool {
-	return slices.ContainsFunc(hos.list, func(hel *held) bool { return hel.stage == nil })
+func (hos *host) hasOrphanRuns() bool {
+	return slices.ContainsFunc(hos.runList, func(hel *placement) bool { return hel.stage == nil })
 }
 
 // State is what the dispatcher knows. It belongs to one goroutine.
@@ -233,9 +233,9 @@
 	effects  []Effect
 	catalog  catalog.Catalog
 	zonesOut map[string]bool
-	jobs     map[job.ID]*live
+	jobs     map[job.ID]*liveJob
 	// jobList holds the jobs in the order in which they were taken in.
-	jobList []*live
+	jobList []*liveJob
 	hosts   map[string]*host
 	// hostList holds the hosts in the order of their IDs.
 	hostList []*host
@@ -249,49 +249,49 @@
 	waves      map[int64]*wave
 	commit     commit
 	loaded     bool
-	// confirmed is up to when changes of jobs are known.
-	confirmed time.Time
+	// jobsSyncedAt is up to when changes of jobs are known.
+	jobsSyncedAt time.Time
 	// ended remembers jobs that are stored as ended, so that an event that comes
 	// late doesn't bring them back.
-	ended *recent[job.ID, bool]
-	// retiring holds the jobs that are stored as ended, by their end.
-	retiring []EndedJob
-	// lost holds the lives of VMs that have ended, by ID: their registrations
+	ended *recentMap[job.ID, bool]
+	// endedJobs holds the jobs that are stored as ended, by their end.
+	endedJobs []EndedJob
+	// lostVMs holds the lives of VMs that have ended, by ID: their registrations
 	// last for some seconds more.
-	lost *recent[string, worker.VM]
-	// learned holds, by queue, how run times compare with the estimates.
-	learned map[string]*ratio
-	gaveUp  bool
+	lostVMs *recentMap[string, worker.VM]
+	// runtimeRatios holds, by queue, how run times compare with the estimates.
+	runtimeRatios map[string]*runtimeRatio
+	steppedDown   bool
 	// machineNames are those of the list of machines, sorted.
 	machineNames []string
 	demands      map[string]*demand
-	// total is what all pools want together.
-	total demand
+	// totalDemand is what all pools want together.
+	totalDemand demand
 	// moves holds the machines on their way to another pool; fleetAt is when the
 	// moves were last planned.
-	moves   map[string]moving
-	fleetAt time.Time
-	// poolsNoted is when the log was last told of the pools.
-	poolsNoted time.Time
-	// askers is how many questions may be put to the advisor at once, asking how
+	moves          map[string]pendingMove
+	movesPlannedAt time.Time
+	// poolsLoggedAt is when the log was last told of the pools.
+	poolsLoggedAt time.Time
+	// advisorSlots is how many questions may be put to the advisor at once, advisorInFlight how
 	// many wait for their answer. questions are those noted in this round.
-	askers, asking int
-	questions      []question
-	// barred holds the moves that the platform doesn't allow, as machine and
+	advisorSlots, advisorInFlight int
+	advisorQueue                  []advisorQuery
+	// forbiddenMoves holds the moves that the platform doesn't allow, as machine and
 	// pool.
-	barred map[string]bool
+	forbiddenMoves map[string]bool
 }
 
 // machines is the list of machines as last read.
 type machines struct {
 	byName map[string]worker.Machine
 	byVM   map[string]string
-	// asked is when the last list was asked for; listed is when the list that is
-	// known was asked for.
-	asked, listed time.Time
-	busy          bool
-	// wanted says that an order's effect waits for the next list.
-	wanted bool
+	// requestedAt is when the last list was requestedAt for; listed is when the list that is
+	// known was requestedAt for.
+	requestedAt, listed time.Time
+	inFlight            bool
+	// refreshDue says that an order's effect waits for the next list.
+	refreshDue bool
 }
 
 // wave is a plan with the orders under way.
@@ -313,52 +313,52 @@
 
 // commit is the write under way.
 type commit struct {
-	busy    bool
-	retryAt time.Time
-	jobs    []jobWrite
-	// retired counts the records of ended jobs that it removes.
-	retired int
+	inFlight bool
+	retryAt  time.Time
+	jobs     []jobWrite
+	// purged counts the records of ended jobs that it removes.
+	purged int
 }
 
 type jobWrite struct {
-	live  *live
-	acks  []ack
-	final bool
+	liveJob *liveJob
+	acks    []ack
+	final   bool
 }
 
 // New returns the state of a dispatcher that has just taken the duty.
 func New(opt Options) *State {
 	return &State{
-		opt: opt, confirmed: opt.Since, zonesOut: map[string]bool{}, jobs: map[job.ID]*live{}, hosts: map[string]*host{},
+		opt: opt, jobsSyncedAt: opt.Since, zonesOut: map[string]bool{}, jobs: map[job.ID]*liveJob{}, hosts: map[string]*host{},
 		pools: map[string][]*host{}, usage: map[string]job.Size{}, allowances: map[string]allowance.Bucket{}, waves: map[int64]*wave{},
 		machines: machines{byName: map[string]worker.Machine{}, byVM: map[string]string{}},
-		ended:    newRecent[job.ID, bool](), lost: newRecent[string, worker.VM](), learned: map[string]*ratio{},
-		demands: map[string]*demand{}, moves: map[string]moving{}, barred: map[string]bool{},
+		ended:    newRecentMap[job.ID, bool](), lostVMs: newRecentMap[string, worker.VM](), runtimeRatios: map[string]*runtimeRatio{},
+		demands: map[string]*demand{}, moves: map[string]pendingMove{}, forbiddenMoves: map[string]bool{},
 	}
 }
 
 func (sta *State) emit(eff Effect) { sta.effects = append(sta.effects, eff) }
 
-func (sta *State) note(name string, id job.ID, fields map[string]any) {
+func (sta *State) logDecision(name string, id job.ID, fields map[string]any) {
 	sta.emit(LogDecision{Name: name, Job: id, Fields: fields})
 }
 
-// ratio learns how run times compare with the estimates.
-type ratio struct {
+// runtimeRatio learns how run times compare with the estimates.
+type runtimeRatio struct {
 	mean  float64
 	count int
 }
 
-// learnWeight is the weight of a new run once several have been seen.
-const learnWeight = 0.05
+// minSampleWeight is the weight of a new run once several have been seen.
+const minSampleWeight = 0.05
 
-func (rat *ratio) add(val float64) {
+func (rat *runtimeRatio) add(val float64) {
 	rat.count++
-	rat.mean += (val - rat.mean) * max(learnWeight, 1/float64(rat.count))
+	rat.mean += (val - rat.mean) * max(minSampleWeight, 1/float64(rat.count))
 }
 
 // factor returns the mean, or 1 if nothing has been learned.
-func (rat *ratio) factor() float64 {
+func (rat *runtimeRatio) factor() float64 {
 	if rat == nil || rat.count == 0 {
 		return 1
 	}
--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -29,7 +29,7 @@
 		plan = plan.WithBegun(name)
 	}
 	sta.waves[evt.Wave.Number] = &wave{plan: plan, down: map[string]downMachine{}, ordered: map[string]bool{}}
-	sta.note("wave_asked", "", map[string]any{"wave": evt.Wave.Number, "machines": len(evt.Wave.Machines), "cap": evt.Wave.Cap, "duration_ms": evt.Wave.Duration.Milliseconds(), "begun": len(evt.Begun)})
+	sta.logDecision("wave_asked", "", map[string]any{"wave": evt.Wave.Number, "machines": len(evt.Wave.Machines), "cap": evt.Wave.Cap, "duration_ms": evt.Wave.Duration.Milliseconds(), "begun": len(evt.Begun)})
 	sta.emit(SaveWave{Number: evt.Wave.Number, Begun: evt.Begun})
 }
 
@@ -53,7 +53,7 @@
 	exists := func(name string) bool { _, ok := sta.machines.byName[name]; return ok }
 	if wav.plan.Completed(exists) && len(wav.ordered) == 0 {
 		wav.completed = true
-		sta.note("wave_completed", "", map[string]any{"wave": number, "age_ms": sta.now.Sub(wav.plan.RequestedAt).Milliseconds()})
+		sta.logDecision("wave_completed", "", map[string]any{"wave": number, "age_ms": sta.now.Sub(wav.plan.RequestedAt).Milliseconds()})
 		sta.emit(SaveWave{Number: number, Begun: wav.begun(), Completed: true})
 		return
 	}
@@ -86,7 +86,7 @@
 		if hos := sta.hosts[sta.machines.byName[name].VM]; hos != nil {
 			hos.goingDown = true
 		}
-		sta.note("upkeep_ordered", "", map[string]any{"machine": name, "wave": number, "vm": sta.machines.byName[name].VM})
+		sta.logDecision("upkeep_ordered", "", map[string]any{"machine": name, "wave": number, "vm": sta.machines.byName[name].VM})
 		sta.emit(Upkeep{Machine: name, Wave: number})
 	}
 }
@@ -104,7 +104,7 @@
 		return true
 	}
 	if sta.machines.listed.Before(sta.opt.Since.Add(steerDelay)) {
-		sta.machines.wanted = !sta.now.Before(sta.opt.Since.Add(steerDelay))
+		sta.machines.refreshDue = !sta.now.Before(sta.opt.Since.Add(steerDelay))
 		return false
 	}
 	return true
@@ -147,15 +147,15 @@
 	if hos == nil {
 		return can
 	}
-	if hos.vm.Leaving || hos.failedLooks > 0 || !hos.fenced {
+	if hos.vm.Leaving || hos.failedPolls > 0 || !hos.fenced {
 		can.Up = false
 		return can
 	}
 	shares := map[*stage]upkeep.StepShare{}
 	var lasting []*stage
-	for _, hel := range hos.list {
+	for _, hel := range hos.runList {
 		stg := hel.stage
-		if stg == nil || stg.live.final != "" {
+		if stg == nil || stg.liveJob.final != "" {
 			continue
 		}
 		if stg.step.LongRunning {
@@ -190,7 +190,7 @@
 func (sta *State) relocate(name string) {
 	hos := sta.hosts[sta.machines.byName[name].VM]
 	done := map[*stage]bool{}
-	for _, hel := range hos.list {
+	for _, hel := range hos.runList {
 		stg := hel.stage
 		if stg == nil || !stg.step.LongRunning || done[stg] || !hel.working() {
 			continue
@@ -200,18 +200,18 @@
 			continue
 		}
 		done[stg] = true
-		sta.note("task_relocated", hel.task.Job, map[string]any{"task": hel.task.String(), "run": hel.run, "vm": hos.vm.ID, "machine": name})
+		sta.logDecision("task_relocated", hel.task.Job, map[string]any{"task": hel.task.String(), "run": hel.run, "vm": hos.vm.ID, "machine": name})
 		sta.stop(hel)
 	}
 }
 
 // working reports whether the run is at work and has not been told to stop.
-func (hel *held) working() bool { return hel.state == runRunning && hel.percent >= atWork }
+func (hel *placement) working() bool { return hel.state == runRunning && hel.percent >= atWork }
 
 // working counts the tasks of a stage that are at work on a VM.
 func (hos *host) working(stg *stage) int {
 	n := 0
-	for _, hel := range hos.list {
+	for _, hel := range hos.runList {
 		if hel.stage == stg && hel.working() {
 			n++
 		}
@@ -235,11 +235,11 @@
 			}
 			continue
 		}
-		if hos == nil || hos.failedLooks > 0 || hos.vm.Leaving || hos.goingDown {
+		if hos == nil || hos.failedPolls > 0 || hos.vm.Leaving || hos.goingDown {
 			n++
 			continue
 		}
-		for _, hel := range hos.list {
+		for _, hel := range hos.runList {
 			if hel.stage == stg && hel.task.Index == i && !hel.working() {
 				n++
 			}
@@ -250,7 +250,7 @@
 
 // machineAnswered takes in the answer to an order for a machine.
 func (sta *State) machineAnswered(evt MachineAnswered) {
-	sta.note("machine_answered", "", map[string]any{"machine": evt.Machine, "wave": evt.Wave, "result": evt.Result.String()})
+	sta.logDecision("machine_answered", "", map[string]any{"machine": evt.Machine, "wave": evt.Wave, "result": evt.Result.String()})
 	if evt.Wave == 0 {
 		sta.moveAnswered(evt)
 		return
@@ -276,7 +276,7 @@
 	sta.emit(SaveWave{Number: evt.Wave, Begun: wav.begun()})
 	if hos := sta.hosts[vm]; hos != nil {
 		hos.downAnswered = sta.now
-		sta.machines.wanted = true
+		sta.machines.refreshDue = true
 	}
 }
 
@@ -285,7 +285,7 @@
 func (sta *State) orderFailed(hos *host, res worker.MachineResult) {
 	if res == worker.MachineUnknown {
 		hos.downAnswered = sta.now
-		sta.machines.wanted = true
+		sta.machines.refreshDue = true
 		return
 	}
 	hos.goingDown = false
@@ -294,7 +294,7 @@
 // machinesListed takes in the list of machines. It tells which lives have
 // ended.
 func (sta *State) machinesListed(evt MachinesListed) {
-	sta.machines.busy = false
+	sta.machines.inFlight = false
 	if evt.Machines == nil {
 		return
 	}
@@ -321,26 +321,26 @@
 	ordered := hos.goingDown && !hos.downAnswered.IsZero() && asked.After(hos.downAnswered)
 	switch {
 	case ordered && ok && mac.State == worker.MachineUp:
-		sta.note("order_without_effect", "", map[string]any{"machine": name, "vm": hos.vm.ID})
+		sta.logDecision("order_without_effect", "", map[string]any{"machine": name, "vm": hos.vm.ID})
 		hos.goingDown, hos.downAnswered = false, time.Time{}
 		delete(sta.moves, name)
 		for _, wav := range sta.waves {
 			delete(wav.down, name)
 		}
 	case ordered:
-		sta.lose(hos, "its machine went down as ordered")
-	case (!ok || mac.State != worker.MachineUp) && !hos.fenced && !asked.Before(hos.found):
+		sta.removeHost(hos, "its machine went down as ordered")
+	case (!ok || mac.State != worker.MachineUp) && !hos.fenced && !asked.Before(hos.firstSeen):
 		// Registrations outlast the life of a VM by some seconds.
-		sta.lose(hos, "no machine has this life any more")
-	case hos.failedLooks > 0 && (!ok || mac.State == worker.MachineDown):
-		sta.lose(hos, "the list of machines says that it is down")
+		sta.removeHost(hos, "no machine has this life any more")
+	case hos.failedPolls > 0 && (!ok || mac.State == worker.MachineDown):
+		sta.removeHost(hos, "the list of machines says that it is down")
 	}
 }
 
 // listMachines asks for the list of machines while something waits for it.
 func (sta *State) listMachines() {
 	pause := listRest
-	if sta.restoring() && sta.machines.listed.Before(sta.opt.Since) {
+	if sta.formerLeasesMayHold() && sta.machines.listed.Before(sta.opt.Since) {
 		pause = 0
 	}
 	for _, wav := range sta.waves {
@@ -350,20 +350,20 @@
 	}
 	for _, hos := range sta.hostList {
 		_, listed := sta.machines.byVM[hos.vm.ID]
-		if hos.failedLooks >= suspectFailures || !listed {
+		if hos.failedPolls >= silentAfterPolls || !listed {
 			pause = min(pause, listPause)
 		}
 	}
 	if len(sta.moves) > 0 {
 		pause = min(pause, listPause)
 	}
-	if sta.machines.wanted {
+	if sta.machines.refreshDue {
 		pause = min(pause, listSoon)
 	}
-	if sta.machines.busy || sta.now.Sub(sta.machines.asked) < pause {
+	if sta.machines.inFlight || sta.now.Sub(sta.machines.requestedAt) < pause {
 		return
 	}
-	sta.machines.busy, sta.machines.wanted = true, false
-	sta.machines.asked = sta.now
+	sta.machines.inFlight, sta.machines.refreshDue = true, false
+	sta.machines.requestedAt = sta.now
 	sta.emit(ListMachines{})
 }
