--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -19,38 +19,40 @@
 	"github.com/balsamgauge/balsamgauge/platform"
 )
 
-// Times of the dispatcher's loop.
+// Timing and limits of the dispatcher.
 const (
-	// tickEvery is how often time passes for the reducer when nothing happens.
-	tickEvery = 40 * time.Millisecond
-	// batchPause is how long the loop waits for more events, which saves
-	// wake-ups.
-	batchPause = 3 * time.Millisecond
-	// loadEvery is how often the load is written if it has changed.
-	loadEvery = time.Second
-	// eventQueue is how many events may wait for the loop.
-	eventQueue = 4096
-	// maxLease bounds for how long a VM runs tasks without a look. It outlasts
-	// the takeover of the duty.
-	maxLease = 4 * time.Second
-	// leaseShare is the part of the longest lease that a VM grants that is used.
-	leaseShare = 0.9
+	// tickInterval is how often the reducer runs when there are no events.
+	tickInterval = 40 * time.Millisecond
+	// batchDelay is how long the loop waits for more events after the first
+	// one, which saves wake-ups.
+	batchDelay = 3 * time.Millisecond
+	// loadInterval is the shortest time between two writes of the load.
+	loadInterval = time.Second
+	// eventQueueSize is how many events may wait for the loop.
+	eventQueueSize = 4096
+	// maxTaskLease bounds how long a VM runs tasks without being polled. It is
+	// longer than a takeover of the duty takes.
+	maxTaskLease = 4 * time.Second
+	// leaseFraction is the part of the longest lease granted by a VM that is
+	// used.
+	leaseFraction = 0.9
 )
 
-// dispatcher runs the scheduler for the time of one tenure.
+// dispatcher runs the scheduler during one tenure.
 type dispatcher struct {
 	nod    *Node
 	ten    *election.Tenure
 	sta    *scheduler.State
 	events chan scheduler.Event
-	// load is what was last written.
-	load     scheduler.Load
-	loadSent time.Time
-	// waves orders the writes about waves.
-	waves sync.Mutex
-	// askers put questions to the advisor; asked is how many the reducer knows of.
-	askers *advisory.Pool
-	asked  int
+	// load is the load that was last written.
+	load          scheduler.Load
+	loadWrittenAt time.Time
+	// waveWrites serializes the writes of wave states.
+	waveWrites sync.Mutex
+	// ticketPool sends queries to the advisor; reportedSources is its number of
+	// sources as last reported to the reducer.
+	ticketPool      *advisory.Pool
+	reportedSources int
 }
 
 // dispatch runs the dispatcher until the context is done.
@@ -58,17 +60,17 @@
 	cur := ten.Current()
 	set := nod.settings()
 	bnd := set.Bounds
-	dis := &dispatcher{nod: nod, ten: ten, events: make(chan scheduler.Event, eventQueue), askers: advisory.NewPool(nod.now)}
+	dis := &dispatcher{nod: nod, ten: ten, events: make(chan scheduler.Event, eventQueueSize), ticketPool: advisory.NewPool(nod.now)}
 	dis.sta = scheduler.New(scheduler.Options{
 		Since: cur.Since, Revision: cur.Revision, Term: cur.Holder.Term,
-		Lease:    min(maxLease, time.Duration(float64(bnd.MaxTaskLease)*leaseShare)),
+		Lease:    min(maxTaskLease, time.Duration(float64(bnd.MaxTaskLease)*leaseFraction)),
 		StopTime: bnd.StopTime, UpkeepTime: bnd.Upkeep,
 		KeepEnded:      bnd.KeepEnded,
 		ShareWindow:    bnd.ShareWindow,
 		MovesPerSecond: set.MachineOrdersPerSecond,
 	})
-	go dis.bring(ctx)
-	go dis.followAskers(ctx)
+	go dis.loadState(ctx)
+	go dis.followTicketSources(ctx)
 	dis.loop(ctx)
 }
 
@@ -80,9 +82,9 @@
 	}
 }
 
-// loop feeds the reducer and carries out its effects.
+// loop passes events to the reducer and carries out its effects.
 func (dis *dispatcher) loop(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	var batch []scheduler.Event
 	for {
@@ -91,17 +93,17 @@
 			return
 		case evt := <-dis.events:
 			batch = append(batch, evt)
-			time.Sleep(batchPause)
+			time.Sleep(batchDelay)
 		case <-tick.C:
 		}
 		batch = dis.drain(batch)
 		now := dis.nod.now()
 		if !dis.ten.Holds(now) {
-			// The answers that came are kept until the duty is sure again.
+			// Events are kept until the duty is guaranteed to be held again.
 			continue
 		}
-		if size := dis.askers.Available(); size != dis.asked {
-			dis.asked = size
+		if size := dis.ticketPool.Available(); size != dis.reportedSources {
+			dis.reportedSources = size
 			batch = append(batch, scheduler.AskersChanged{Count: size})
 		}
 		effects := dis.sta.Reduce(now, batch)
@@ -113,12 +115,13 @@
 	}
 }
 
-// askersWatch is how long a watch of the askers waits: they change rarely.
-const askersWatch = 2 * time.Second
+// ticketSourcesWait is how long one watch of the ticket sources waits. It is
+// long, as they rarely change.
+const ticketSourcesWait = 2 * time.Second
 
-// followAskers keeps up with the entries that put questions to the advisor, once
-// some queue needs advice.
-func (dis *dispatcher) followAskers(ctx context.Context) {
+// followTicketSources keeps the ticket pool up to date once some queue needs
+// advice.
+func (dis *dispatcher) followTicketSources(ctx context.Context) {
 	for !dis.nod.needsAdvice() {
 		clock.Pause(ctx, time.Second)
 		if ctx.Err() != nil {
@@ -126,7 +129,7 @@
 		}
 	}
 	wat := &advisory.Watcher{
-		Store: dis.nod.store, Pool: dis.askers, Name: dis.nod.settings().Name, Local: dis.nod.relay, Wait: askersWatch,
+		Store: dis.nod.store, Pool: dis.ticketPool, Name: dis.nod.settings().Name, Local: dis.nod.relay, Wait: ticketSourcesWait,
 		Log: dis.nod.log, Now: dis.nod.now,
 	}
 	wat.Run(ctx)
@@ -143,8 +146,8 @@
 	}
 }
 
-// bring loads what is stored, and follows it from then on.
-func (dis *dispatcher) bring(ctx context.Context) {
+// loadState reads the stored state, and follows its changes from then on.
+func (dis *dispatcher) loadState(ctx context.Context) {
 	sna := dis.nod.operator.snapshot()
 	for sna.view.Confirmed.IsZero() {
 		var ok bool
@@ -152,7 +155,7 @@
 			return
 		}
 	}
-	dis.sendOperator(ctx, sna)
+	dis.sendOperatorState(ctx, sna)
 	progress, ok := dis.progress(ctx)
 	if !ok {
 		return
@@ -160,18 +163,18 @@
 	go dis.follow(ctx, platform.VMPrefix, dis.vmsReset(ctx), func(cha kv.Change) { dis.vmChanged(ctx, cha) }, nil)
 	go dis.follow(ctx, job.LivePrefix, dis.jobsReset(ctx, progress), func(cha kv.Change) { dis.jobChanged(ctx, cha, nil) },
 		func(sent time.Time) { dis.send(ctx, scheduler.ViewConfirmed{At: sent}) })
-	go dis.bringEnded(ctx)
+	go dis.loadEndedJobs(ctx)
 	dis.followOperator(ctx, sna)
 }
 
-// endedDelay keeps the list of ended jobs, which is long and not urgent, apart
-// from what a takeover waits for.
-const endedDelay = 5 * time.Second
+// endedJobsDelay postpones reading the ended jobs, which are many and not
+// urgent, until a takeover is complete.
+const endedJobsDelay = 5 * time.Second
 
-// bringEnded lists the jobs that former dispatchers stored as ended.
-func (dis *dispatcher) bringEnded(ctx context.Context) {
-	clock.Pause(ctx, endedDelay)
-	items, ok := dis.list(ctx, job.EndedPrefix)
+// loadEndedJobs reads the jobs that earlier dispatchers stored as ended.
+func (dis *dispatcher) loadEndedJobs(ctx context.Context) {
+	clock.Pause(ctx, endedJobsDelay)
+	items, ok := dis.readAll(ctx, job.EndedPrefix)
 	if !ok {
 		return
 	}
@@ -179,7 +182,7 @@
 	for _, itm := range items {
 		out, err := job.Unmarshal[job.Outcome](itm.Value)
 		if err != nil {
-			dis.ignored(itm, err)
+			dis.logIgnored(itm, err)
 			continue
 		}
 		if itm.Revision < dis.ten.Current().Revision {
@@ -191,46 +194,46 @@
 
 func (dis *dispatcher) follow(ctx context.Context, prefix string, reset func([]kv.Item), change func(kv.Change), confirmed func(time.Time)) {
 	fol := &follow.Follower{
-		Store: dis.nod.store, Prefix: prefix, Wait: dispatchWatch, Log: dis.nod.log, Now: dis.nod.now,
+		Store: dis.nod.store, Prefix: prefix, Wait: dispatchWait, Log: dis.nod.log, Now: dis.nod.now,
 		Reset: reset, Change: change, Confirmed: confirmed,
 	}
 	fol.Run(ctx)
 }
 
-// dispatchWatch is how long a watch of jobs or VMs waits. A connection that
+// dispatchWait is how long one watch of jobs or VMs waits. A connection that
 // went silent delays new jobs by little more than that.
-const dispatchWatch = 300 * time.Millisecond
+const dispatchWait = 300 * time.Millisecond
 
-// stored is a job's progress as a former dispatcher stored it.
-type stored struct {
+// storedProgress is a job's progress as an earlier dispatcher stored it.
+type storedProgress struct {
 	progress job.Progress
 	revision kv.Revision
 }
 
 // progress reads the progress of all live jobs.
-func (dis *dispatcher) progress(ctx context.Context) (all map[job.ID]stored, ok bool) {
-	items, ok := dis.list(ctx, job.ProgressPrefix)
+func (dis *dispatcher) progress(ctx context.Context) (all map[job.ID]storedProgress, ok bool) {
+	items, ok := dis.readAll(ctx, job.ProgressPrefix)
 	if !ok {
 		return nil, false
 	}
-	all = make(map[job.ID]stored, len(items))
+	all = make(map[job.ID]storedProgress, len(items))
 	for _, itm := range items {
 		pro, err := job.Unmarshal[job.Progress](itm.Value)
 		if err != nil {
-			dis.ignored(itm, err)
+			dis.logIgnored(itm, err)
 			continue
 		}
-		all[job.ID(itm.Key[len(job.ProgressPrefix):])] = stored{pro, itm.Revision}
+		all[job.ID(itm.Key[len(job.ProgressPrefix):])] = storedProgress{pro, itm.Revision}
 	}
 	return all, true
 }
 
-// list reads all items under a prefix, until the store answers or the context is
-// done.
-func (dis *dispatcher) list(ctx context.Context, prefix string) (items []kv.Item, ok bool) {
+// readAll reads all items under a prefix, with retries until the store answers
+// or the context is done.
+func (dis *dispatcher) readAll(ctx context.Context, prefix string) (items []kv.Item, ok bool) {
 	for ctx.Err() == nil {
-		ask, cancel := context.WithTimeout(ctx, follow.ReadTimeout)
-		items, _, err := kv.List(ask, dis.nod.store, prefix)
+		callCtx, cancel := context.WithTimeout(ctx, follow.ReadTimeout)
+		items, _, err := kv.List(callCtx, dis.nod.store, prefix)
 		cancel()
 		if err == nil {
 			return items, true
@@ -241,12 +244,13 @@
 	return nil, false
 }
 
-func (dis *dispatcher) ignored(itm kv.Item, err error) {
+func (dis *dispatcher) logIgnored(itm kv.Item, err error) {
 	dis.nod.log.Event("entry_ignored", decisionlog.Fields{"key": itm.Key, "revision": itm.Revision, "error": err.Error()})
 }
 
-// jobsReset brings all live jobs, and those cancelled.
-func (dis *dispatcher) jobsReset(ctx context.Context, progress map[job.ID]stored) func([]kv.Item) {
+// jobsReset returns a function that sends all live and cancelled jobs, the
+// first time with their stored progress.
+func (dis *dispatcher) jobsReset(ctx context.Context, progress map[job.ID]storedProgress) func([]kv.Item) {
 	first := true
 	return func(items []kv.Item) {
 		for _, itm := range items {
@@ -260,7 +264,7 @@
 	}
 }
 
-func (dis *dispatcher) jobChanged(ctx context.Context, cha kv.Change, progress map[job.ID]stored) {
+func (dis *dispatcher) jobChanged(ctx context.Context, cha kv.Change, progress map[job.ID]storedProgress) {
 	if cha.Deleted {
 		return
 	}
@@ -271,14 +275,15 @@
 	}
 	spe, err := job.Unmarshal[job.Spec](cha.Item.Value)
 	if err != nil {
-		dis.ignored(cha.Item, err)
+		dis.logIgnored(cha.Item, err)
 		return
 	}
 	old := progress[id]
 	dis.send(ctx, scheduler.JobAccepted{Spec: spe, Revision: cha.Item.Revision, Progress: old.progress, ProgressRevision: old.revision})
 }
 
-// vmsReset brings all registered VMs, and says which are no longer registered.
+// vmsReset returns a function that sends all registered VMs, and those that are
+// no longer registered.
 func (dis *dispatcher) vmsReset(ctx context.Context) func([]kv.Item) {
 	known := map[string]bool{}
 	return func(items []kv.Item) {
@@ -303,30 +308,30 @@
 	}
 	one, err := platform.DecodeVM(cha.Item)
 	if err != nil {
-		dis.ignored(cha.Item, err)
+		dis.logIgnored(cha.Item, err)
 		dis.send(ctx, scheduler.VMUnregistered{ID: platform.VMID(cha.Item.Key)})
 		return
 	}
 	dis.send(ctx, scheduler.VMRegistered{VM: one})
 }
 
-// followOperator passes on what the operator changes.
+// followOperator sends the operator's changes to the reducer.
 func (dis *dispatcher) followOperator(ctx context.Context, sna snapshot) {
-	asked := map[int64]bool{}
+	sent := map[int64]bool{}
 	for {
 		for number, wav := range sna.waves {
-			if !asked[number] {
-				begun, ok := dis.waveBegun(ctx, number)
+			if !sent[number] {
+				begun, ok := dis.readWaveBegun(ctx, number)
 				if !ok {
 					return
 				}
-				asked[number] = true
+				sent[number] = true
 				dis.send(ctx, scheduler.WaveAsked{Wave: wav, Begun: begun})
 			}
 		}
-		for number := range asked {
+		for number := range sent {
 			if _, ok := sna.waves[number]; !ok {
-				delete(asked, number)
+				delete(sent, number)
 				dis.send(ctx, scheduler.WaveWithdrawn{Number: number})
 			}
 		}
@@ -334,11 +339,11 @@
 		if sna, ok = dis.nextSnapshot(ctx, sna); !ok {
 			return
 		}
-		dis.sendOperator(ctx, sna)
+		dis.sendOperatorState(ctx, sna)
 	}
 }
 
-// nextSnapshot waits for a change of what the operator wrote.
+// nextSnapshot waits until the operator's keys change.
 func (dis *dispatcher) nextSnapshot(ctx context.Context, sna snapshot) (next snapshot, ok bool) {
 	select {
 	case <-ctx.Done():
@@ -348,22 +353,23 @@
 	}
 }
 
-// sendOperator brings the configuration and the availability zones that are out.
-func (dis *dispatcher) sendOperator(ctx context.Context, sna snapshot) {
+// sendOperatorState sends the configuration and the availability zones that are
+// out of service.
+func (dis *dispatcher) sendOperatorState(ctx context.Context, sna snapshot) {
 	dis.send(ctx, scheduler.CatalogChanged{Catalog: sna.view.Catalog})
 	dis.send(ctx, scheduler.ZonesChanged{Out: sna.zones})
 }
 
 // writeLoad writes the load if it has changed.
 func (dis *dispatcher) writeLoad(ctx context.Context, now time.Time) {
-	if now.Sub(dis.loadSent) < loadEvery {
+	if now.Sub(dis.loadWrittenAt) < loadInterval {
 		return
 	}
 	loa, ok := dis.sta.Load()
 	if !ok || reflect.DeepEqual(loa, dis.load) {
 		return
 	}
-	dis.load, dis.loadSent = loa, now
+	dis.load, dis.loadWrittenAt = loa, now
 	raw, err := encodeLoad(loa)
 	if err != nil {
 		dis.nod.log.Event("load_not_written", decisionlog.Fields{"error": err.Error()})
@@ -376,16 +382,17 @@
 	}()
 }
 
-// errDutyLost means that the store says that another process has the duty.
+// errDutyLost means that another process holds the duty according to the store.
 var errDutyLost = errors.New("the duty is no longer held")
 
-// commit writes on the condition that this process holds the duty.
+// commit applies a transaction on the condition that this process holds the
+// duty.
 func (dis *dispatcher) commit(ctx context.Context, txn kv.Txn) (rev kv.Revision, err error) {
 	held := kv.Condition{Key: duty.HolderKey, Revision: dis.ten.Current().Revision}
 	txn.Conditions = append([]kv.Condition{held}, txn.Conditions...)
-	ask, cancel := context.WithTimeout(ctx, commitTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
-	rev, err = dis.nod.store.Commit(ask, txn)
+	rev, err = dis.nod.store.Commit(callCtx, txn)
 	var con *kv.ConflictError
 	if errors.As(err, &con) && con.Item(duty.HolderKey).Revision != held.Revision {
 		dis.ten.End()
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -17,24 +17,24 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Time-outs of the dispatcher's calls.
+// Timeouts of the dispatcher's calls.
 const (
-	// orderTimeout is how long an order waits for its answer; a VM answers
+	// orderTimeout is how long an order waits for its response; a VM responds
 	// within milliseconds.
 	orderTimeout = 900 * time.Millisecond
-	// lookSlack is how much longer than its wait a look takes at most.
-	lookSlack     = 700 * time.Millisecond
+	// pollSlack is how much longer than its wait a poll may take.
+	pollSlack     = 700 * time.Millisecond
 	commitTimeout = 1500 * time.Millisecond
-	// listTimeout bounds a list of machines, and an order for one.
-	listTimeout = 2 * time.Second
+	// machinesTimeout bounds a list of machines, and an order for a machine.
+	machinesTimeout = 2 * time.Second
 )
 
-// perform carries out an effect. Effects that wait for others run in a
-// goroutine of their own and report by an event.
+// perform carries out an effect. Effects that wait for a response run in a
+// goroutine of their own and send the outcome as an event.
 func (dis *dispatcher) perform(ctx context.Context, now time.Time, eff scheduler.Effect) {
 	switch eff := eff.(type) {
 	case scheduler.Look:
-		go dis.look(ctx, now, eff)
+		go dis.poll(ctx, now, eff)
 	case scheduler.Start:
 		go dis.start(ctx, eff)
 	case scheduler.Stop:
@@ -51,12 +51,12 @@
 	case scheduler.ListMachines:
 		go dis.listMachines(ctx, now)
 	case scheduler.Upkeep:
-		go dis.machineOrder(ctx, eff.Machine, eff.Wave, func(ctx context.Context, ord platform.OrderIssuer) (worker.MachineResult, error) {
-			return dis.nod.machines.Upkeep(ctx, ord, eff.Machine, eff.Wave)
+		go dis.machineOrder(ctx, eff.Machine, eff.Wave, func(ctx context.Context, iss platform.OrderIssuer) (worker.MachineResult, error) {
+			return dis.nod.machines.Upkeep(ctx, iss, eff.Machine, eff.Wave)
 		})
 	case scheduler.Move:
-		go dis.machineOrder(ctx, eff.Machine, 0, func(ctx context.Context, ord platform.OrderIssuer) (worker.MachineResult, error) {
-			return dis.nod.machines.Move(ctx, ord, eff.Machine, eff.Pool)
+		go dis.machineOrder(ctx, eff.Machine, 0, func(ctx context.Context, iss platform.OrderIssuer) (worker.MachineResult, error) {
+			return dis.nod.machines.Move(ctx, iss, eff.Machine, eff.Pool)
 		})
 	case scheduler.SaveWave:
 		go dis.saveWave(ctx, eff)
@@ -66,13 +66,13 @@
 		dis.nod.log.Event("duty_given_up", decisionlog.Fields{"reason": eff.Reason})
 		dis.ten.End()
 	case scheduler.Note:
-		dis.note(eff)
+		dis.logNote(eff)
 	default:
 		panic(fmt.Sprintf("manager: unknown effect %T", eff))
 	}
 }
 
-func (dis *dispatcher) note(not scheduler.Note) {
+func (dis *dispatcher) logNote(not scheduler.Note) {
 	fields := decisionlog.Fields{}
 	for key, value := range not.Fields {
 		fields[key] = value
@@ -83,55 +83,55 @@
 	dis.nod.log.Event(not.Name, fields)
 }
 
-func (dis *dispatcher) failed(call, vm string, err error) {
+func (dis *dispatcher) logFailure(call, vm string, err error) {
 	if err != nil {
 		dis.nod.log.Event("call_failed", decisionlog.Fields{"call": call, "vm": vm, "error": err.Error()})
 	}
 }
 
-// term returns the dispatcher's term.
+// term returns the dispatcher's term, the fencing token of its orders.
 func (dis *dispatcher) term() int64 { return dis.ten.Current().Holder.Term }
 
-func (dis *dispatcher) look(ctx context.Context, now time.Time, eff scheduler.Look) {
-	ask, cancel := context.WithTimeout(ctx, eff.Wait+lookSlack)
+func (dis *dispatcher) poll(ctx context.Context, now time.Time, eff scheduler.Look) {
+	callCtx, cancel := context.WithTimeout(ctx, eff.Wait+pollSlack)
 	defer cancel()
-	rep, res, err := dis.nod.executors.Poll(ask, eff.VM, platform.Poll{Term: dis.term(), Acked: eff.Acked, Deadline: eff.Deadline, Wait: eff.Wait})
-	dis.failed("look", eff.VM.ID, err)
+	rep, res, err := dis.nod.executors.Poll(callCtx, eff.VM, platform.Poll{Term: dis.term(), Acked: eff.Acked, Deadline: eff.Deadline, Wait: eff.Wait})
+	dis.logFailure("look", eff.VM.ID, err)
 	dis.send(ctx, scheduler.Looked{VM: eff.VM, Sent: now, Report: rep, Result: res})
 }
 
 func (dis *dispatcher) start(ctx context.Context, eff scheduler.Start) {
-	ask, cancel := context.WithTimeout(ctx, orderTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	res, err := dis.nod.executors.Start(ask, eff.VM, platform.StartOrder{
+	res, err := dis.nod.executors.Start(callCtx, eff.VM, platform.StartOrder{
 		Task: eff.Task, Run: eff.Run, Payload: eff.Payload, Deadline: eff.Deadline, Term: dis.term(),
 		Checkpoint: eff.Checkpoint, Ticket: eff.Ticket,
 	})
-	dis.failed("start", eff.VM.ID, err)
+	dis.logFailure("start", eff.VM.ID, err)
 	dis.send(ctx, scheduler.StartAnswered{VM: eff.VM, Task: eff.Task, Run: eff.Run, Result: res})
 }
 
 func (dis *dispatcher) stop(ctx context.Context, eff scheduler.Stop) {
-	ask, cancel := context.WithTimeout(ctx, orderTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	res, err := dis.nod.executors.Stop(ask, eff.VM, eff.Task, eff.Run, dis.term())
-	dis.failed("stop", eff.VM.ID, err)
+	res, err := dis.nod.executors.Stop(callCtx, eff.VM, eff.Task, eff.Run, dis.term())
+	dis.logFailure("stop", eff.VM.ID, err)
 	dis.send(ctx, scheduler.StopAnswered{VM: eff.VM, Task: eff.Task, Run: eff.Run, Result: res})
 }
 
 func (dis *dispatcher) pace(ctx context.Context, eff scheduler.Pace) {
-	ask, cancel := context.WithTimeout(ctx, orderTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	res, err := dis.nod.executors.Pace(ask, eff.VM, eff.Task, eff.Run, eff.Percent, dis.term())
-	dis.failed("pace", eff.VM.ID, err)
+	res, err := dis.nod.executors.Pace(callCtx, eff.VM, eff.Task, eff.Run, eff.Percent, dis.term())
+	dis.logFailure("pace", eff.VM.ID, err)
 	dis.send(ctx, scheduler.PaceAnswered{VM: eff.VM, Task: eff.Task, Percent: eff.Percent, Result: res})
 }
 
 func (dis *dispatcher) advise(ctx context.Context, eff scheduler.Advise) {
 	evt := scheduler.Advised{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs}
-	ask, cancel := context.WithTimeout(ctx, advisory.QueryTimeout(eff.Decision))
+	callCtx, cancel := context.WithTimeout(ctx, advisory.QueryTimeout(eff.Decision))
 	defer cancel()
-	ans, err := dis.askers.RequestTickets(ask, advisory.Query{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs})
+	ans, err := dis.ticketPool.RequestTickets(callCtx, advisory.Query{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs})
 	if err != nil {
 		dis.nod.log.Event("no_advice", decisionlog.Fields{"job": string(eff.Job), "step": eff.Step, "error": err.Error()})
 	} else {
@@ -141,9 +141,9 @@
 }
 
 func (dis *dispatcher) listMachines(ctx context.Context, now time.Time) {
-	ask, cancel := context.WithTimeout(ctx, listTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, machinesTimeout)
 	defer cancel()
-	all, err := dis.nod.machines.List(ask)
+	all, err := dis.nod.machines.List(callCtx)
 	if err != nil {
 		dis.nod.log.Event("machines_not_listed", decisionlog.Fields{"error": err.Error()})
 		all = nil
@@ -151,17 +151,18 @@
 	dis.send(ctx, scheduler.MachinesListed{Asked: now, Machines: all})
 }
 
-// errNotHeld means that an order was not sent, for the duty was not sure.
-var errNotHeld = errors.New("the duty is not sure to be held")
+// errNotHeld means that an order was not sent because the duty may have been
+// lost.
+var errNotHeld = errors.New("the duty is not guaranteed to be held")
 
-// machineOrder gives an order for a machine. VMs don't check terms for these,
-// so that the duty must be sure at the time of sending.
+// machineOrder sends an order for a machine. VMs don't check the term of these
+// orders, so the duty must be guaranteed to be held when the order is sent.
 func (dis *dispatcher) machineOrder(ctx context.Context, machine string, wave int64, order func(context.Context, platform.OrderIssuer) (worker.MachineResult, error)) {
-	ask, cancel := context.WithTimeout(ctx, listTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, machinesTimeout)
 	defer cancel()
 	res, err := worker.MachineRefused, errNotHeld
 	if cur := dis.ten.Current(); cur.Holds(dis.nod.now()) {
-		res, err = order(ask, platform.OrderIssuer{Holder: cur.Holder.Name, Term: cur.Holder.Term})
+		res, err = order(callCtx, platform.OrderIssuer{Holder: cur.Holder.Name, Term: cur.Holder.Term})
 	}
 	if err != nil {
 		dis.nod.log.Event("machine_order_failed", decisionlog.Fields{"machine": machine, "wave": wave, "error": err.Error()})
@@ -169,16 +170,17 @@
 	dis.send(ctx, scheduler.MachineAnswered{Machine: machine, Wave: wave, Result: res})
 }
 
-// wavePrefix begins the keys that hold the machines whose upkeep has begun.
+// wavePrefix is the prefix of the keys that hold the machines whose upkeep has
+// begun.
 const wavePrefix = "upkeep/"
 
 func waveKey(number int64) string { return fmt.Sprintf("%s%d", wavePrefix, number) }
 
-// saveWave stores how a wave goes, for the operator and for the next
-// dispatcher, until it succeeds.
+// saveWave stores a wave's progress for the operator and for the next
+// dispatcher, with retries until it succeeds.
 func (dis *dispatcher) saveWave(ctx context.Context, eff scheduler.SaveWave) {
-	dis.waves.Lock()
-	defer dis.waves.Unlock()
+	dis.waveWrites.Lock()
+	defer dis.waveWrites.Unlock()
 	raw, err := msgpack.Marshal(eff.Begun)
 	if err != nil {
 		dis.nod.log.Event("wave_not_saved", decisionlog.Fields{"wave": eff.Number, "error": err.Error()})
@@ -197,18 +199,18 @@
 	}
 }
 
-// waveBegun reads the machines whose upkeep a former dispatcher began.
-func (dis *dispatcher) waveBegun(ctx context.Context, number int64) (begun []string, ok bool) {
+// readWaveBegun reads the machines whose upkeep an earlier dispatcher began.
+func (dis *dispatcher) readWaveBegun(ctx context.Context, number int64) (begun []string, ok bool) {
 	for ctx.Err() == nil {
-		ask, cancel := context.WithTimeout(ctx, follow.ReadTimeout)
-		itm, err := dis.nod.store.Get(ask, waveKey(number))
+		callCtx, cancel := context.WithTimeout(ctx, follow.ReadTimeout)
+		itm, err := dis.nod.store.Get(callCtx, waveKey(number))
 		cancel()
 		switch {
 		case errors.Is(err, kv.ErrNotFound):
 			return nil, true
 		case err == nil:
 			if err := msgpack.Unmarshal(itm.Value, &begun); err != nil {
-				dis.ignored(itm, err)
+				dis.logIgnored(itm, err)
 			}
 			return begun, true
 		}
--- a/internal/manager/load.go
+++ b/internal/manager/load.go
@@ -15,10 +15,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Keys under which the dispatcher and the duty lie.
+// Keys of the duty and of the dispatcher's load.
 const (
 	dutyPrefix = "duty/"
-	// loadKey holds the dispatcher's load.
+	// loadKey is the key of the dispatcher's load.
 	loadKey = "duty/load"
 )
 
@@ -30,7 +30,7 @@
 	return raw, nil
 }
 
-// loadView is the dispatcher's load as this process last read it. It is safe
+// loadView is the dispatcher's load as last read by this process. It is safe
 // for concurrent use.
 type loadView struct {
 	log *decisionlog.Log
@@ -52,10 +52,11 @@
 	lov.load, lov.read = loa, lov.now()
 }
 
-// maxLoadAge is how old a load may be to refuse a job by it.
+// maxLoadAge is the age from which a load is too old to refuse jobs.
 const maxLoadAge = 2500 * time.Millisecond
 
-// admit decides whether a queue takes a job.
+// admit decides whether a queue admits a job. Without a recent load it admits
+// all.
 func (lov *loadView) admit(now time.Time, que *catalog.Queue, spe job.Spec) (after time.Duration, reason string) {
 	lov.mu.Lock()
 	defer lov.mu.Unlock()
@@ -65,9 +66,9 @@
 	return lov.load.Admit(que, spe)
 }
 
-var errNoLoad = errors.New("no load of a dispatcher is known")
+var errNoLoad = errors.New("no dispatcher has written its load yet")
 
-// pending returns how many jobs of a queue have not begun.
+// pending returns the number of a queue's jobs that have not begun.
 func (lov *loadView) pending(_ context.Context, queue string) (count int, err error) {
 	lov.mu.Lock()
 	defer lov.mu.Unlock()
--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -26,28 +26,32 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// Parts of a key's withdrawal time after which a process that can't confirm
-// the configuration stops trusting it.
+// Bounds on the age of the configuration. Fractions are relative to the time
+// within which a withdrawn key must stop working.
 const (
-	// keyedShare leaves time for the write that a call may still make.
-	keyedShare = 0.6
-	// deniedAge bounds the age of a configuration that denies a call: a version
-	// must be in force 2 s after it was written.
-	deniedAge = 1500 * time.Millisecond
-	// writeAge is a little longer than a watch of the operator's keys takes.
-	writeAge = 1300 * time.Millisecond
-	// readyShare is when the balancer is told to look elsewhere.
-	readyShare = 0.45
+	// keyedAgeFraction bounds the age for calls with a key. It leaves time for
+	// the write that a call may still make.
+	keyedAgeFraction = 0.6
+	// maxDeniedAge bounds the age of a configuration that denies a call: a
+	// version must be in force 2 s after it was written.
+	maxDeniedAge = 1500 * time.Millisecond
+	// maxWriteSilence bounds how long the store may have been silent when a
+	// write is sent. It is a little longer than a watch of the operator's keys
+	// takes.
+	maxWriteSilence = 1300 * time.Millisecond
+	// readyAgeFraction bounds the age for readiness: beyond it the load
+	// balancer must send its calls to other processes.
+	readyAgeFraction = 0.45
 )
 
-// configWatch is how long a watch of the operator's keys waits. It bounds the
-// age of the configuration while nothing changes.
-const configWatch = 700 * time.Millisecond
+// operatorWait is how long one watch of the operator's keys waits. It bounds
+// the age of the configuration while nothing changes.
+const operatorWait = 700 * time.Millisecond
 
-// dutyWatch is how long a watch of the duty waits.
-const dutyWatch = 2 * time.Second
+// dutyWait is how long one watch of the duty waits.
+const dutyWait = 2 * time.Second
 
-// Node is a process on an entry VM.
+// Node is the process on an entry VM.
 type Node struct {
 	set       atomic.Pointer[platform.Settings]
 	log       *decisionlog.Log
@@ -62,7 +66,7 @@
 	metrics   metrics.Registry
 }
 
-// New returns a process with its settings.
+// New returns a process with the given settings that logs to out.
 func New(set platform.Settings, out io.Writer) (nod *Node, err error) {
 	clo, err := clock.New()
 	if err != nil {
@@ -88,13 +92,13 @@
 	nod.log.Event("started", decisionlog.Fields{"az": nod.settings().AZ, "callers": nod.settings().Callers, "store": nod.settings().Store, "pid": os.Getpid()})
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
-	// The duty is given up first, so that another process takes it while this
-	// one finishes its calls.
-	held, handOver := context.WithCancel(work)
-	defer handOver()
+	// The duty is released first, so that another process takes it over while
+	// this one finishes its open calls.
+	dutyCtx, releaseDuty := context.WithCancel(work)
+	defer releaseDuty()
 	var group run.Group
-	kept := make(chan struct{})
-	group.Add(func() error { defer close(kept); nod.election.Run(held); return nil }, func(error) { handOver() })
+	dutyReleased := make(chan struct{})
+	group.Add(func() error { defer close(dutyReleased); nod.election.Run(dutyCtx); return nil }, func(error) { releaseDuty() })
 	nod.addFollowers(work, &group, stop)
 	for _, srv := range []struct {
 		address string
@@ -104,13 +108,13 @@
 		{nod.settings().Ready, http.HandlerFunc(nod.ready(ctx))},
 		{nod.internalAddress(), nod.internal()},
 	} {
-		if err := nod.addServer(&group, srv.address, srv.handler, kept); err != nil {
+		if err := nod.addServer(&group, srv.address, srv.handler, dutyReleased); err != nil {
 			return err
 		}
 	}
 	registration := &advisory.Registration{Store: nod.store, Name: nod.settings().Name, Address: nod.internalAddress(), Needed: nod.needsAdvice, Log: nod.log}
-	group.Add(func() error { registration.Run(held); return nil }, func(error) {})
-	group.Add(func() error { nod.reloads(work); return nil }, func(error) { stop() })
+	group.Add(func() error { registration.Run(dutyCtx); return nil }, func(error) {})
+	group.Add(func() error { nod.followSettings(work); return nil }, func(error) { stop() })
 	group.Add(func() error { <-ctx.Done(); return nil }, func(error) {})
 	return group.Run()
 }
@@ -118,20 +122,22 @@
 func (nod *Node) addFollowers(ctx context.Context, group *run.Group, stop context.CancelFunc) {
 	for _, fol := range []*follow.Follower{
 		{
-			Store: nod.store, Prefix: platform.OperatorPrefix, Wait: configWatch, Log: nod.log, Now: nod.now,
+			Store: nod.store, Prefix: platform.OperatorPrefix, Wait: operatorWait, Log: nod.log, Now: nod.now,
 			Reset: nod.operator.reset, Change: nod.operator.change, Confirmed: nod.operator.confirm,
 		},
-		{Store: nod.store, Prefix: dutyPrefix, Wait: dutyWatch, Log: nod.log, Now: nod.now, Reset: nod.dutyReset, Change: nod.dutyChanged},
+		{Store: nod.store, Prefix: dutyPrefix, Wait: dutyWait, Log: nod.log, Now: nod.now, Reset: nod.dutyReset, Change: nod.dutyChanged},
 	} {
 		group.Add(func() error { fol.Run(ctx); return nil }, func(error) { stop() })
 	}
 }
 
-// shutdownShare is the part of the grace time for which open calls may go on.
-const shutdownShare = 0.75
+// shutdownFraction is the part of the grace time for which open calls may
+// continue.
+const shutdownFraction = 0.75
 
-// addServer serves HTTP on an address. At the end it lets open calls finish.
-func (nod *Node) addServer(group *run.Group, address string, handler http.Handler, kept <-chan struct{}) error {
+// addServer adds an HTTP server on an address. At shutdown it waits until the
+// duty is released and then lets open calls finish.
+func (nod *Node) addServer(group *run.Group, address string, handler http.Handler, dutyReleased <-chan struct{}) error {
 	lis, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("listen on %s: %w", address, err)
@@ -144,10 +150,10 @@
 		}
 		return fmt.Errorf("serve on %s: %w", address, err)
 	}, func(error) {
-		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(float64(nod.settings().Bounds.Grace)*shutdownShare))
+		ctx, cancel := context.WithTimeout(context.Background(), time.Duration(float64(nod.settings().Bounds.Grace)*shutdownFraction))
 		defer cancel()
 		select {
-		case <-kept:
+		case <-dutyReleased:
 		case <-ctx.Done():
 		}
 		if err := srv.Shutdown(ctx); err != nil {
@@ -157,29 +163,29 @@
 	return nil
 }
 
-// Bounds of the connections of clients, in the platform's default limits.
+// Limits of client connections, equal to the platform's default limits.
 const (
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 60 * time.Second
 )
 
 func (nod *Node) ingress() http.Handler {
-	desk := &intake.JobService{
+	svc := &intake.JobService{
 		Store: nod.store, ConfigKey: platform.ConfigKey,
 		Freshness: nod.freshness,
 		View:      nod.operator.current, Admit: nod.load.admit, Pending: nod.load.pending,
 	}
-	return &platform.Ingress{JobService: desk, Now: nod.now, AfterCall: nod.called}
+	return &platform.Ingress{JobService: svc, Now: nod.now, AfterCall: nod.recordCall}
 }
 
 func (nod *Node) freshness() intake.Freshness {
-	keyed := time.Duration(float64(nod.settings().Bounds.KeyRevocation) * keyedShare)
-	return intake.Freshness{Keyed: keyed, Denied: deniedAge, Write: writeAge}
+	keyed := time.Duration(float64(nod.settings().Bounds.KeyRevocation) * keyedAgeFraction)
+	return intake.Freshness{Keyed: keyed, Denied: maxDeniedAge, Write: maxWriteSilence}
 }
 
-// called counts and logs a call. Reads of states that went well are only
-// counted.
-func (nod *Node) called(req *http.Request, id job.ID, ans intake.Answer, took time.Duration) {
+// recordCall counts and logs a call. Successful reads are counted but not
+// logged.
+func (nod *Node) recordCall(req *http.Request, id job.ID, ans intake.Answer, took time.Duration) {
 	metrics.GetOrRegisterTimer("calls."+req.Method+"."+ans.Verdict.String(), nod.metrics).Update(took)
 	if req.Method == http.MethodGet && ans.Verdict == intake.VerdictOK {
 		return
@@ -192,11 +198,11 @@
 	})
 }
 
-// ready answers the balancer: a process that shuts down, or that can't confirm
-// its configuration, takes no new connections.
+// ready answers the load balancer's health checks: a process that is shutting
+// down, or that can't confirm its configuration, accepts no new connections.
 func (nod *Node) ready(ctx context.Context) http.HandlerFunc {
 	return func(wri http.ResponseWriter, _ *http.Request) {
-		bound := time.Duration(float64(nod.settings().Bounds.KeyRevocation) * readyShare)
+		bound := time.Duration(float64(nod.settings().Bounds.KeyRevocation) * readyAgeFraction)
 		vie := nod.operator.current()
 		if ctx.Err() != nil || vie.Confirmed.IsZero() || nod.now().Sub(vie.Confirmed) > bound {
 			wri.WriteHeader(http.StatusServiceUnavailable)
@@ -206,7 +212,8 @@
 	}
 }
 
-// internalAddress is where other entries and the operators' tools call.
+// internalAddress returns the address on which other entries and the operators'
+// tools call this process.
 func (nod *Node) internalAddress() string {
 	return net.JoinHostPort(nod.settings().IP, strconv.Itoa(nod.settings().FirstPort))
 }
--- a/internal/manager/reload.go
+++ b/internal/manager/reload.go
@@ -11,17 +11,17 @@
 	"github.com/balsamgauge/balsamgauge/platform"
 )
 
-// reloadEvery is how often the settings file is read again: it may change
+// reloadInterval is how often the settings file is read again, as it may change
 // without a signal.
-const reloadEvery = 5 * time.Second
+const reloadInterval = 5 * time.Second
 
-// reloads reads the settings again whenever the process is told so by SIGHUP,
-// and from time to time, until the context is done.
-func (nod *Node) reloads(ctx context.Context) {
+// followSettings reloads the settings at each SIGHUP and at regular intervals,
+// until the context is done.
+func (nod *Node) followSettings(ctx context.Context) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	tick := time.NewTicker(reloadEvery)
+	tick := time.NewTicker(reloadInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -35,8 +35,8 @@
 	}
 }
 
-// reload applies the settings file. Settings that are fixed for the life of the
-// process keep their values; a file with faults changes nothing.
+// reload applies the settings file. Settings that are fixed for the lifetime of
+// the process keep their values; a file with faults changes nothing.
 func (nod *Node) reload(cause string) {
 	old := nod.settings()
 	set, err := platform.LoadSettings(old.Path)
--- a/internal/manager/view.go
+++ b/internal/manager/view.go
@@ -11,7 +11,7 @@
 	"github.com/balsamgauge/balsamgauge/platform"
 )
 
-// operatorView is what this process knows of what the operator wrote. It is
+// operatorView is this process's copy of what the operator has written. It is
 // safe for concurrent use.
 type operatorView struct {
 	log *decisionlog.Log
@@ -72,22 +72,22 @@
 	for _, itm := range items {
 		opv.apply(kv.Change{Item: itm})
 	}
-	opv.announce()
+	opv.notify()
 }
 
 func (opv *operatorView) change(cha kv.Change) {
 	opv.mu.Lock()
 	defer opv.mu.Unlock()
 	opv.apply(cha)
-	opv.announce()
+	opv.notify()
 }
 
-func (opv *operatorView) announce() {
+func (opv *operatorView) notify() {
 	close(opv.changed)
 	opv.changed = make(chan struct{})
 }
 
-// apply takes in one change. Entries that can't be read are left out.
+// apply applies one change. Entries that can't be decoded are ignored.
 func (opv *operatorView) apply(cha kv.Change) {
 	itm := cha.Item
 	if az, ok := platform.ParseEvacuation(itm.Key); ok {
