--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -14,8 +14,8 @@
 
 var noon = time.Date(2026, 1, 2, 12, 0, 0, 0, time.UTC)
 
-// scriptedStore answers commits with errors in turn, then with success. Reads
-// find nothing.
+// scriptedStore fails commits with the given errors in order, and then
+// succeeds. Get finds nothing; Range returns page.
 type scriptedStore struct {
 	kv.Store
 	errs    []error
@@ -41,7 +41,7 @@
 	return kv.Item{}, kv.ErrNotFound
 }
 
-func newDesk(sto *scriptedStore, age time.Duration) *JobService {
+func newService(sto *scriptedStore, age time.Duration) *JobService {
 	cat := catalog.New(catalog.Catalog{
 		Revision: 7,
 		Queues:   []catalog.Queue{{Name: "gate", Host: "h", Prefix: "/g/"}, {Name: "open", Host: "h", Prefix: "/o/", Public: true}},
@@ -56,11 +56,12 @@
 	}
 }
 
-func oneStep() job.Spec {
+func oneStepJob() job.Spec {
 	return job.Spec{ID: "1", Steps: []job.Step{{Count: 1, Size: job.Size{CPU: 1}}}}
 }
 
-// TestSubmitVerdicts tells what became of a job for each answer of the store.
+// TestSubmitVerdicts checks the verdict of a submission for each sequence of
+// store errors.
 func TestSubmitVerdicts(t *testing.T) {
 	accepted := &kv.ConflictError{Current: []kv.Item{{Key: job.LiveKey("1"), Revision: 5}}}
 	changed := &kv.ConflictError{Current: []kv.Item{{Key: "config", Revision: 8}}}
@@ -69,28 +70,29 @@
 		want    Verdict
 		commits int
 	}{
-		"stored":                         {nil, VerdictOK, 1},
-		"stored before":                  {[]error{accepted}, VerdictOK, 1},
-		"configuration changed":          {[]error{changed}, VerdictOK, 2},
-		"configuration changed for ever": {[]error{changed, changed, changed}, VerdictUnavailable, 3},
-		"refused by the store":           {[]error{kv.ErrNotDone}, VerdictUnavailable, 1},
-		"no answer, then stored":         {[]error{kv.ErrUnknown}, VerdictOK, 2},
-		"no answer, but stored":          {[]error{kv.ErrUnknown, accepted}, VerdictOK, 2},
-		"no answer, then refused":        {[]error{kv.ErrUnknown, kv.ErrNotDone}, VerdictUnknown, 2},
-		"no answer, then changed":        {[]error{kv.ErrUnknown, changed}, VerdictOK, 3},
-		"never an answer":                {[]error{kv.ErrUnknown, kv.ErrUnknown, kv.ErrUnknown}, VerdictUnknown, 3},
+		"stored":                       {nil, VerdictOK, 1},
+		"stored before":                {[]error{accepted}, VerdictOK, 1},
+		"configuration changed":        {[]error{changed}, VerdictOK, 2},
+		"configuration keeps changing": {[]error{changed, changed, changed}, VerdictUnavailable, 3},
+		"refused by the store":         {[]error{kv.ErrNotDone}, VerdictUnavailable, 1},
+		"no answer, then stored":       {[]error{kv.ErrUnknown}, VerdictOK, 2},
+		"no answer, but stored":        {[]error{kv.ErrUnknown, accepted}, VerdictOK, 2},
+		"no answer, then refused":      {[]error{kv.ErrUnknown, kv.ErrNotDone}, VerdictUnknown, 2},
+		"no answer, then changed":      {[]error{kv.ErrUnknown, changed}, VerdictOK, 3},
+		"never answered":               {[]error{kv.ErrUnknown, kv.ErrUnknown, kv.ErrUnknown}, VerdictUnknown, 3},
 	} {
 		sto := &scriptedStore{errs: tst.errs}
-		ans := newDesk(sto, 0).Submit(context.Background(), noon, Call{Host: "h", Path: "/g/1", Key: "k"}, oneStep())
+		ans := newService(sto, 0).Submit(context.Background(), noon, Call{Host: "h", Path: "/g/1", Key: "k"}, oneStepJob())
 		assert.Equal(t, ans.Verdict, tst.want, name)
 		assert.Equal(t, len(sto.commits), tst.commits, name)
 		assert.DeepEqual(t, sto.commits[0].Conditions[2], kv.Condition{Key: "config", Revision: 7})
 	}
 }
 
-// TestAgeOfTheConfiguration refuses what an old configuration can't decide. A
-// write that the store can't take is refused unsent.
-func TestAgeOfTheConfiguration(t *testing.T) {
+// TestStaleConfiguration checks that a stale configuration makes calls
+// unavailable instead of allowing or denying them, and that nothing is written
+// while the store is unreachable.
+func TestStaleConfiguration(t *testing.T) {
 	for _, tst := range []struct {
 		age       time.Duration
 		path, key string
@@ -108,7 +110,7 @@
 		{3100 * time.Millisecond, "/g/1", "k", VerdictUnavailable},
 	} {
 		sto := &scriptedStore{}
-		ans := newDesk(sto, tst.age).Submit(context.Background(), noon, Call{Host: "h", Path: tst.path, Key: tst.key}, oneStep())
+		ans := newService(sto, tst.age).Submit(context.Background(), noon, Call{Host: "h", Path: tst.path, Key: tst.key}, oneStepJob())
 		assert.Equal(t, ans.Verdict, tst.want, "%s %s %s", tst.age, tst.path, tst.key)
 		assert.Equal(t, len(sto.commits) > 0, tst.want == VerdictOK)
 		if tst.want == VerdictUnavailable {
@@ -117,8 +119,9 @@
 	}
 }
 
-// TestRefusalIsTrue refuses by load only what no store knows.
-func TestRefusalIsTrue(t *testing.T) {
+// TestRefusalOnlyOfUnknownJobs checks that a job that was accepted before is
+// never refused because of load.
+func TestRefusalOnlyOfUnknownJobs(t *testing.T) {
 	raw, err := job.Marshal(job.Spec{ID: "1", Queue: "gate", Account: "city"})
 	assert.NilError(t, err)
 	refuse := func(time.Time, *catalog.Queue, job.Spec) (time.Duration, string) { return time.Second, "full" }
@@ -129,25 +132,26 @@
 		{kv.Page{}, VerdictRefused},
 		{kv.Page{Items: []kv.Item{{Key: job.LiveKey("1"), Value: raw, Revision: 3}}}, VerdictOK},
 	} {
-		des := newDesk(&scriptedStore{page: tst.page}, 0)
-		des.Admit = refuse
-		ans := des.Submit(context.Background(), noon, Call{Host: "h", Path: "/g/1", Key: "k"}, oneStep())
+		svc := newService(&scriptedStore{page: tst.page}, 0)
+		svc.Admit = refuse
+		ans := svc.Submit(context.Background(), noon, Call{Host: "h", Path: "/g/1", Key: "k"}, oneStepJob())
 		assert.Equal(t, ans.Verdict, tst.want)
 	}
 }
 
-// TestWatchThatWaits accepts jobs while the store has answered of late, however
-// long its watch has waited.
-func TestWatchThatWaits(t *testing.T) {
-	des := newDesk(&scriptedStore{}, 1400*time.Millisecond)
-	vie := des.View()
+// TestSubmitDuringWatch accepts a job while a watch is pending: the
+// configuration was confirmed longer ago than the write bound, but the store
+// has answered within it.
+func TestSubmitDuringWatch(t *testing.T) {
+	svc := newService(&scriptedStore{}, 1400*time.Millisecond)
+	vie := svc.View()
 	vie.LastContact = noon.Add(-700 * time.Millisecond)
-	des.View = func() View { return vie }
-	ans := des.Submit(context.Background(), noon, Call{Host: "h", Path: "/g/1", Key: "k"}, oneStep())
+	svc.View = func() View { return vie }
+	ans := svc.Submit(context.Background(), noon, Call{Host: "h", Path: "/g/1", Key: "k"}, oneStepJob())
 	assert.Equal(t, ans.Verdict, VerdictOK)
 }
 
-// silentStore answers nothing on its first connections.
+// silentStore leaves its first reads unanswered.
 type silentStore struct {
 	scriptedStore
 	silent int
@@ -162,17 +166,17 @@
 	return sto.scriptedStore.Range(ctx, prefix, after)
 }
 
-// TestSilentConnection asks the store again when a connection to it has gone
-// silent, long before the caller gives up.
-func TestSilentConnection(t *testing.T) {
+// TestRetryOnSilentConnection repeats a read whose connection has gone silent,
+// long before the caller's own timeout.
+func TestRetryOnSilentConnection(t *testing.T) {
 	raw, err := job.Marshal(job.Spec{ID: "1", Queue: "gate", Account: "city"})
 	assert.NilError(t, err)
 	sto := &silentStore{silent: 1, scriptedStore: scriptedStore{page: kv.Page{Items: []kv.Item{{Key: job.LiveKey("1"), Value: raw, Revision: 3}}}}}
-	des := newDesk(&sto.scriptedStore, 0)
-	des.Store = sto
+	svc := newService(&sto.scriptedStore, 0)
+	svc.Store = sto
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
-	ans := des.State(ctx, noon, Call{Host: "h", Path: "/g/1", Key: "k"}, "1")
+	ans := svc.State(ctx, noon, Call{Host: "h", Path: "/g/1", Key: "k"}, "1")
 	assert.Equal(t, ans.Verdict, VerdictOK)
 	assert.NilError(t, ctx.Err())
 }
--- a/internal/intake/retry.go
+++ b/internal/intake/retry.go
@@ -8,24 +8,24 @@
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 )
 
-// Tries of calls to the store.
+// Limits of retries of calls to the store.
 const (
-	// tryTime bounds a try. A store that is slow by a factor of 60 answers within
-	// 240 ms; a connection that went silent never does.
-	tryTime = 700 * time.Millisecond
-	// maxTries is how often a call without an answer is made.
-	maxTries = 3
+	// attemptTimeout bounds one attempt. A store that is slow by a factor of 60
+	// answers within 240 ms; a connection that went silent never does.
+	attemptTimeout = 700 * time.Millisecond
+	// maxAttempts is how often an unanswered call is made.
+	maxAttempts = 3
 )
 
-// attempt makes a call to the store until it is answered. Calls must be
-// idempotent: one without an answer may have been carried out, or may yet be.
-// The error is ErrUnknown if that is so of some try, unless a later one succeeded
-// or met a conflict, which tell how things stand.
-func attempt(ctx context.Context, call func(ctx context.Context) error) (err error) {
+// retryUnanswered makes a call to the store until it is answered. Calls must be
+// idempotent: an unanswered attempt may have taken effect, or may still do so.
+// The error is ErrUnknown if any attempt was unanswered, unless a later one
+// succeeded or met a conflict, which establishes the outcome.
+func retryUnanswered(ctx context.Context, call func(ctx context.Context) error) (err error) {
 	var unknown error
-	for range maxTries {
-		ask, cancel := context.WithTimeout(ctx, tryTime)
-		err = call(ask)
+	for range maxAttempts {
+		callCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
+		err = call(callCtx)
 		cancel()
 		var con *kv.ConflictError
 		switch {
