--- a/internal/advisory/doc.go
+++ b/internal/advisory/doc.go
@@ -1,7 +1,9 @@
-// Package advisory asks the platform's advisor which VMs may run a step.
+// Package advisory requests tickets from the platform's advisor, which decides
+// which VMs may run a step.
 //
-// The advisor serves one question at a time for each entry VM. So the
-// dispatcher's questions are spread over all entries: each of them registers an
-// address in the store while some queue needs advice, and serves a question at
-// a time over HTTP with msgpack bodies.
+// The advisor serves one query at a time for each entry VM. So the dispatcher's
+// queries are spread over all entries (the processes on the entry VMs): each of
+// them registers an address in the store while some queue needs advice, and
+// serves one query at a time over HTTP with msgpack bodies. The VMs that a
+// query names are those that run tasks (worker.VM).
 package advisory
--- a/internal/advisory/fuzz_test.go
+++ b/internal/advisory/fuzz_test.go
@@ -13,19 +13,20 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-type emptyAsker struct{}
+type emptySource struct{}
 
-func (emptyAsker) RequestTickets(context.Context, Query) (Tickets, error) { return Tickets{}, nil }
+func (emptySource) RequestTickets(context.Context, Query) (Tickets, error) { return Tickets{}, nil }
 
-// FuzzQuestion serves questions of other entries. Each is answered or refused.
-func FuzzQuestion(f *testing.F) {
+// FuzzQuery serves queries of other entries. Each must be answered or rejected
+// as malformed.
+func FuzzQuery(f *testing.F) {
 	raw, err := msgpack.Marshal(&Query{Job: "j", Step: 1, VMs: []string{"vm"}})
 	if err != nil {
 		f.Fatal(err)
 	}
 	f.Add(raw)
 	f.Add([]byte{0x81, 0xa1, 'v', 0xdd, 0xff, 0xff, 0xff, 0xff})
-	rel := NewRelay(emptyAsker{}, decisionlog.New(io.Discard, "fuzz", time.Now))
+	rel := NewRelay(emptySource{}, decisionlog.New(io.Discard, "fuzz", time.Now))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		rec := httptest.NewRecorder()
 		rel.ServeHTTP(rec, httptest.NewRequest(http.MethodPost, Path, bytes.NewReader(raw)))
--- a/internal/advisory/pool.go
+++ b/internal/advisory/pool.go
@@ -9,117 +9,117 @@
 	"time"
 )
 
-// restTime is for how long an asker that failed gets no questions.
-const restTime = 2 * time.Second
+// failureBackoff is how long a source gets no queries after a failure.
+const failureBackoff = 2 * time.Second
 
-// Pool spreads questions over askers, of which each has one at a time. It is
-// safe for concurrent use.
+// Pool spreads queries over ticket sources, each of which serves one at a time.
+// It is safe for concurrent use.
 type Pool struct {
 	now func() time.Time
 
-	mu     sync.Mutex
-	askers map[string]*member
-	// turned is closed and replaced when an asker may have become free.
-	turned chan struct{}
+	mu      sync.Mutex
+	sources map[string]*pooledSource
+	// changed is closed and replaced when a source may have become free.
+	changed chan struct{}
 }
 
-type member struct {
-	asker TicketSource
-	busy  bool
-	// rests is until when it gets no questions.
-	rests time.Time
+type pooledSource struct {
+	source TicketSource
+	busy   bool
+	// retryAt is the end of the backoff after a failure.
+	retryAt time.Time
 }
 
-// NewPool returns a pool without askers.
+// NewPool returns a pool without sources.
 func NewPool(now func() time.Time) *Pool {
-	return &Pool{now: now, askers: map[string]*member{}, turned: make(chan struct{})}
+	return &Pool{now: now, sources: map[string]*pooledSource{}, changed: make(chan struct{})}
 }
 
-// Set replaces the askers by those of the given names; dial makes new ones.
+// Set replaces the sources by those with the given names; dial makes new ones.
 func (poo *Pool) Set(names []string, dial func(name string) TicketSource) {
 	poo.mu.Lock()
 	defer poo.mu.Unlock()
-	for name := range poo.askers {
+	for name := range poo.sources {
 		if !slices.Contains(names, name) {
-			delete(poo.askers, name)
+			delete(poo.sources, name)
 		}
 	}
 	for _, name := range names {
-		if poo.askers[name] == nil {
-			poo.askers[name] = &member{asker: dial(name)}
+		if poo.sources[name] == nil {
+			poo.sources[name] = &pooledSource{source: dial(name)}
 		}
 	}
-	poo.turn()
+	poo.notify()
 }
 
-// Available returns how many askers don't rest.
+// Available returns how many sources are not backing off, busy or not.
 func (poo *Pool) Available() (n int) {
 	poo.mu.Lock()
 	defer poo.mu.Unlock()
 	now := poo.now()
-	for _, mem := range poo.askers {
-		if !now.Before(mem.rests) {
+	for _, src := range poo.sources {
+		if !now.Before(src.retryAt) {
 			n++
 		}
 	}
 	return n
 }
 
-// Answer is the outcome of a question.
+// Answer is the outcome of a query.
 type Answer struct {
 	Tickets Tickets
-	// Sent is when the question was put; tickets are no older.
+	// Sent is when the query was sent; the tickets are no older.
 	Sent time.Time
 }
 
-// RequestTickets puts a question by the next asker that is free.
+// RequestTickets sends a query to the next source that is free.
 func (poo *Pool) RequestTickets(ctx context.Context, que Query) (ans Answer, err error) {
-	name, mem, err := poo.take(ctx)
+	name, src, err := poo.acquire(ctx)
 	if err != nil {
 		return Answer{}, err
 	}
 	ans.Sent = poo.now()
-	ans.Tickets, err = mem.asker.RequestTickets(ctx, que)
-	poo.release(mem, err == nil)
+	ans.Tickets, err = src.source.RequestTickets(ctx, que)
+	poo.release(src, err == nil)
 	if err != nil {
 		return Answer{}, fmt.Errorf("step %d of job %s by %s: %w", que.Step, que.Job, name, err)
 	}
 	return ans, nil
 }
 
-// take waits for a free asker.
-func (poo *Pool) take(ctx context.Context) (name string, mem *member, err error) {
+// acquire waits for a free source and reserves it.
+func (poo *Pool) acquire(ctx context.Context) (name string, src *pooledSource, err error) {
 	for {
 		poo.mu.Lock()
 		now := poo.now()
-		for _, name := range slices.Sorted(maps.Keys(poo.askers)) {
-			if mem := poo.askers[name]; !mem.busy && !now.Before(mem.rests) {
-				mem.busy = true
+		for _, name := range slices.Sorted(maps.Keys(poo.sources)) {
+			if src := poo.sources[name]; !src.busy && !now.Before(src.retryAt) {
+				src.busy = true
 				poo.mu.Unlock()
-				return name, mem, nil
+				return name, src, nil
 			}
 		}
-		turned := poo.turned
+		changed := poo.changed
 		poo.mu.Unlock()
 		select {
 		case <-ctx.Done():
-			return "", nil, fmt.Errorf("no asker is free: %w", ctx.Err())
-		case <-turned:
+			return "", nil, fmt.Errorf("no ticket source is free: %w", ctx.Err())
+		case <-changed:
 		}
 	}
 }
 
-func (poo *Pool) release(mem *member, served bool) {
+func (poo *Pool) release(src *pooledSource, succeeded bool) {
 	poo.mu.Lock()
 	defer poo.mu.Unlock()
-	mem.busy = false
-	if !served {
-		mem.rests = poo.now().Add(restTime)
+	src.busy = false
+	if !succeeded {
+		src.retryAt = poo.now().Add(failureBackoff)
 	}
-	poo.turn()
+	poo.notify()
 }
 
-func (poo *Pool) turn() {
-	close(poo.turned)
-	poo.turned = make(chan struct{})
+func (poo *Pool) notify() {
+	close(poo.changed)
+	poo.changed = make(chan struct{})
 }
--- a/internal/advisory/query.go
+++ b/internal/advisory/query.go
@@ -15,15 +15,16 @@
 	VMs        []string `msgpack:"v"`
 }
 
-// Tickets are the VMs that may run a step.
+// Tickets allow VMs to run a step.
 type Tickets struct {
 	// ByVM holds the ticket of each VM that may run the step.
 	ByVM map[string]string `msgpack:"t"`
-	// Valid is how long the tickets hold.
+	// Valid is how long the tickets are valid.
 	Valid time.Duration `msgpack:"v"`
 }
 
-// TicketSource puts questions to the advisor.
+// TicketSource requests tickets from the advisor, directly or through another
+// entry.
 type TicketSource interface {
 	RequestTickets(ctx context.Context, que Query) (tks Tickets, err error)
 }
--- a/internal/advisory/registry.go
+++ b/internal/advisory/registry.go
@@ -13,25 +13,27 @@
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 )
 
-// Prefix begins the keys under which entries register as askers.
+// Prefix is the prefix of the keys under which entries register the addresses
+// of their relays.
 const Prefix = "asker/"
 
-// Times of registrations.
+// Timing of registrations.
 const (
 	// registrationTTL is how long an entry that vanished stays registered.
 	registrationTTL = 10 * time.Second
-	// renewEvery is the time between two renewals.
-	renewEvery = 3 * time.Second
+	// renewInterval is the time between two renewals.
+	renewInterval = 3 * time.Second
 	// callTimeout bounds a call to the store.
 	callTimeout = time.Second
-	// idlePause is the time between two checks whether advice is needed.
-	idlePause = 500 * time.Millisecond
+	// neededPollInterval is the time between two checks whether advice is
+	// needed.
+	neededPollInterval = 500 * time.Millisecond
 )
 
 // Registration keeps an entry registered while advice is needed.
 type Registration struct {
 	Store kv.Store
-	// Name is the entry's, Address where its relay listens.
+	// Name is the entry's name, Address the address of its relay.
 	Name    string
 	Address string
 	// Needed reports whether some queue needs advice.
@@ -43,12 +45,12 @@
 func (reg *Registration) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if !reg.Needed() {
-			clock.Pause(ctx, idlePause)
+			clock.Pause(ctx, neededPollInterval)
 			continue
 		}
 		if err := reg.hold(ctx); err != nil && ctx.Err() == nil {
 			reg.Log.Event("asker_not_registered", decisionlog.Fields{"error": err.Error()})
-			clock.Pause(ctx, renewEvery)
+			clock.Pause(ctx, renewInterval)
 		}
 	}
 }
@@ -58,9 +60,9 @@
 func (reg *Registration) hold(ctx context.Context) (err error) {
 	var lea kv.LeaseID
 	call := func(ctx context.Context, call func(context.Context) error) error {
-		ask, cancel := context.WithTimeout(ctx, callTimeout)
+		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		return call(ask)
+		return call(callCtx)
 	}
 	err = call(ctx, func(ctx context.Context) (err error) { lea, err = reg.Store.Grant(ctx, registrationTTL); return err })
 	if err != nil {
@@ -78,7 +80,7 @@
 	}
 	reg.Log.Event("asker_registered", decisionlog.Fields{"address": reg.Address, "lease": lea})
 	for reg.Needed() {
-		clock.Pause(ctx, renewEvery)
+		clock.Pause(ctx, renewInterval)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -93,15 +95,15 @@
 	return nil
 }
 
-// Watcher keeps a pool's askers up to date: those that are registered, and the
-// entry's own.
+// Watcher keeps a pool's sources up to date: the entry's own, and the relays of
+// the registered entries.
 type Watcher struct {
 	Store kv.Store
 	Pool  *Pool
-	// Name is the entry's own, Own its asker.
-	Name string
-	Local  TicketSource
-	// Wait is how long a watch of the registrations waits.
+	// Name is the name of the entry itself, Local its source.
+	Name  string
+	Local TicketSource
+	// Wait is how long one watch of the registrations may last.
 	Wait time.Duration
 	Log  *decisionlog.Log
 	Now  func() time.Time
@@ -124,7 +126,7 @@
 	for _, itm := range items {
 		wat.addresses[strings.TrimPrefix(itm.Key, Prefix)] = string(itm.Value)
 	}
-	wat.apply()
+	wat.updatePool()
 }
 
 func (wat *Watcher) change(cha kv.Change) {
@@ -136,21 +138,21 @@
 	} else {
 		wat.addresses[name] = string(cha.Item.Value)
 	}
-	wat.apply()
+	wat.updatePool()
 }
 
-// apply sets the pool's askers, named by address so that an entry that came back
-// elsewhere is a new one.
-func (wat *Watcher) apply() {
-	own := wat.Name
-	names := []string{own}
+// updatePool sets the pool's sources. Those of other entries are named by
+// address, so that an entry that returns at another address is a new source.
+func (wat *Watcher) updatePool() {
+	local := wat.Name
+	names := []string{local}
 	for name, address := range wat.addresses {
-		if name != own {
+		if name != local {
 			names = append(names, address)
 		}
 	}
 	wat.Pool.Set(names, func(name string) TicketSource {
-		if name == own {
+		if name == local {
 			return wat.Local
 		}
 		return dialRemote(name)
--- a/internal/advisory/relay.go
+++ b/internal/advisory/relay.go
@@ -13,40 +13,41 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Path is where an entry serves questions of others.
+// Path is the HTTP path under which an entry serves queries of other entries.
 const Path = "/advice"
 
-// maxBody bounds a question or an answer, in bytes: 100 VMs with their tickets
-// take a tenth of it.
-const maxBody = 64 << 10
+// maxBodyBytes bounds the body of a query or a response: 100 VMs with their
+// tickets take a tenth of it.
+const maxBodyBytes = 64 << 10
 
-// Relay serves questions of other entries, one at a time.
+// Relay serves queries of other entries, one at a time.
 type Relay struct {
-	asker TicketSource
-	log   *decisionlog.Log
-	turn  chan struct{}
+	source TicketSource
+	log    *decisionlog.Log
+	slot   chan struct{}
 }
 
-// NewRelay returns a handler that puts questions by an asker.
-func NewRelay(ask TicketSource, log *decisionlog.Log) *Relay {
-	return &Relay{asker: ask, log: log, turn: make(chan struct{}, 1)}
+// NewRelay returns a relay that forwards queries to a source.
+func NewRelay(src TicketSource, log *decisionlog.Log) *Relay {
+	return &Relay{source: src, log: log, slot: make(chan struct{}, 1)}
 }
 
-// RequestTickets puts a question in its turn.
+// RequestTickets forwards a query once the queries before it have been
+// answered.
 func (rel *Relay) RequestTickets(ctx context.Context, que Query) (tks Tickets, err error) {
 	select {
-	case rel.turn <- struct{}{}:
-		defer func() { <-rel.turn }()
+	case rel.slot <- struct{}{}:
+		defer func() { <-rel.slot }()
 	case <-ctx.Done():
 		return Tickets{}, ctx.Err()
 	}
-	return rel.asker.RequestTickets(ctx, que)
+	return rel.source.RequestTickets(ctx, que)
 }
 
-// ServeHTTP serves a question.
+// ServeHTTP serves a query of another entry.
 func (rel *Relay) ServeHTTP(wri http.ResponseWriter, req *http.Request) {
 	var que Query
-	raw, err := io.ReadAll(io.LimitReader(req.Body, maxBody))
+	raw, err := io.ReadAll(io.LimitReader(req.Body, maxBodyBytes))
 	if err == nil {
 		err = msgpack.Unmarshal(raw, &que)
 	}
@@ -64,23 +65,24 @@
 		wri.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	// An asker that has left asks again.
+	// The write fails only if the entry has disconnected; it then repeats the
+	// query.
 	_, _ = wri.Write(raw)
 }
 
-// remote asks by another entry.
-type remote struct {
+// remoteSource requests tickets through another entry.
+type remoteSource struct {
 	url    string
 	client *http.Client
 }
 
-// dialRemote returns an asker at an entry's address.
+// dialRemote returns a source that uses the relay at an entry's address.
 func dialRemote(address string) TicketSource {
-	return &remote{url: "http://" + address + Path, client: &http.Client{Transport: transport.New(1)}}
+	return &remoteSource{url: "http://" + address + Path, client: &http.Client{Transport: transport.New(1)}}
 }
 
-// RequestTickets puts a question.
-func (rem *remote) RequestTickets(ctx context.Context, que Query) (tks Tickets, err error) {
+// RequestTickets sends a query to the entry's relay.
+func (rem *remoteSource) RequestTickets(ctx context.Context, que Query) (tks Tickets, err error) {
 	raw, err := msgpack.Marshal(&que)
 	if err != nil {
 		return Tickets{}, err
@@ -97,7 +99,7 @@
 	if rsp.StatusCode != http.StatusOK {
 		return Tickets{}, fmt.Errorf("%s: status %d", rem.url, rsp.StatusCode)
 	}
-	raw, err = io.ReadAll(io.LimitReader(rsp.Body, maxBody))
+	raw, err = io.ReadAll(io.LimitReader(rsp.Body, maxBodyBytes))
 	if err != nil {
 		return Tickets{}, err
 	}
@@ -105,6 +107,6 @@
 	return tks, err
 }
 
-// QueryTimeout returns how long a question may take whose decision takes a span: the
-// answer crosses two links, and a busy entry answers late.
+// QueryTimeout returns the timeout of a query whose decision takes a given
+// time: the response crosses two links, and a busy entry responds late.
 func QueryTimeout(decision time.Duration) time.Duration { return 2*decision + time.Second }
