--- a/internal/follow/follow.go
+++ b/internal/follow/follow.go
@@ -1,4 +1,5 @@
-// Package follow keeps up with the keys of a store under a prefix.
+// Package follow replicates the keys of a store under a prefix: it reads them
+// all and then watches for changes.
 package follow
 
 import (
@@ -11,7 +12,7 @@
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 )
 
-// Times of watches.
+// Timing of reads and watches.
 const (
 	// RetryDelay is the pause after a read of the store that failed.
 	RetryDelay = 100 * time.Millisecond
@@ -19,21 +20,23 @@
 	ReadTimeout = 1200 * time.Millisecond
 )
 
-// Follower keeps up with the keys of a prefix.
+// Follower reports the items under a prefix and their changes.
 type Follower struct {
 	Store  kv.Store
 	Prefix string
-	// Wait is how long a watch waits for changes. It bounds for how long a
+	// Wait is how long one watch waits for changes. It bounds how long a
 	// connection that went silent goes unnoticed.
 	Wait time.Duration
 	Log  *decisionlog.Log
 	Now  func() time.Time
-	// Reset is told of all items at the start, and whenever changes were lost.
+	// Reset is called with all items at the start, and whenever changes were
+	// lost.
 	Reset func(items []kv.Item)
-	// Change is told of each change in turn.
+	// Change is called with each change in order.
 	Change func(cha kv.Change)
-	// Confirmed is told when a read was sent that showed the present state. It
-	// may be nil.
+	// Confirmed is called after each successful read or watch with the time at
+	// which it was sent: all changes up to that time have been reported. It may
+	// be nil.
 	Confirmed func(sent time.Time)
 }
 
@@ -51,9 +54,9 @@
 
 func (fol *Follower) list(ctx context.Context) (rev kv.Revision, ok bool) {
 	sent := fol.Now()
-	ask, cancel := context.WithTimeout(ctx, ReadTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, ReadTimeout)
 	defer cancel()
-	items, rev, err := kv.List(ask, fol.Store, fol.Prefix)
+	items, rev, err := kv.List(callCtx, fol.Store, fol.Prefix)
 	if err != nil {
 		if ctx.Err() == nil {
 			fol.Log.Event("store_read_failed", decisionlog.Fields{"prefix": fol.Prefix, "error": err.Error()})
@@ -65,7 +68,8 @@
 	return rev, true
 }
 
-// watch follows from a revision until changes are lost.
+// watch reports changes after a revision until some are lost or the context is
+// done.
 func (fol *Follower) watch(ctx context.Context, rev kv.Revision) {
 	failed := false
 	for ctx.Err() == nil {
