--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -1,5 +1,5 @@
-// Package kv is what the product needs of a key-value store with revisions,
-// leases and watches. Adapters implement Store.
+// Package kv defines the key-value store that the product needs, with
+// revisions, leases and watches. Adapters implement Store.
 package kv
 
 import (
@@ -13,40 +13,42 @@
 var (
 	// ErrNotFound means that the key doesn't exist.
 	ErrNotFound = errors.New("key not found")
-	// ErrNotDone means that the store refused the call and did nothing.
+	// ErrNotDone means that the store refused the call, or that it was never
+	// sent: it had no effect.
 	ErrNotDone = errors.New("store refused the call")
-	// ErrUnknown means that no answer came: a write may have taken effect, or
-	// may still do so while its conditions hold.
+	// ErrUnknown means that no answer arrived: a write may have taken effect,
+	// or may still do so while its conditions hold.
 	ErrUnknown = errors.New("no answer from the store")
 	// ErrCompacted means that the history after a revision is gone.
 	ErrCompacted = errors.New("history is no longer available")
-	// ErrLeaseGone means that a lease has ended.
+	// ErrLeaseGone means that a lease has expired or was revoked.
 	ErrLeaseGone = errors.New("lease has ended")
 )
 
 // Revision counts the changes of the store; the first is above 0.
 type Revision int64
 
-// LeaseID names a lease; 0 is none.
+// LeaseID identifies a lease; 0 is none.
 type LeaseID int64
 
 // Item is a key with its value.
 type Item struct {
 	Key   string
 	Value []byte
-	// Revision is that of the latest change; 0 means that the key doesn't exist.
+	// Revision is that of the latest change; 0 means that the key doesn't
+	// exist.
 	Revision Revision
 	Created  Revision
 	Lease    LeaseID
 }
 
-// Change is one change of a key. Deleted changes have no value.
+// Change is one change of a key. A deletion has no value.
 type Change struct {
 	Item    Item
 	Deleted bool
 }
 
-// Condition holds while a key is at a revision; 0 means that it doesn't exist.
+// Condition requires a key to be at a revision; 0 means that it doesn't exist.
 type Condition struct {
 	Key      string
 	Revision Revision
@@ -59,33 +61,33 @@
 	Lease LeaseID
 }
 
-// Txn is applied as a whole if all its conditions hold.
+// Txn is applied atomically if all its conditions hold.
 type Txn struct {
 	Conditions []Condition
 	Puts       []Put
 	Deletes    []string
 }
 
-// Len returns the number of entries, which stores limit.
+// Len returns the number of conditions, puts and deletes, which stores limit.
 func (txn Txn) Len() int { return len(txn.Conditions) + len(txn.Puts) + len(txn.Deletes) }
 
-// MaxTxnEntries is the most entries in a transaction, a limit of the store.
+// MaxTxnEntries is the store's limit of Txn.Len.
 const MaxTxnEntries = 32
 
-// ConflictError says that a condition of a transaction didn't hold.
+// ConflictError reports that a condition of a transaction didn't hold.
 type ConflictError struct {
-	// Current holds the items that the conditions name, as they are. An item
+	// Current holds the current items of the keys in the conditions. An item
 	// that doesn't exist has revision 0.
 	Current []Item
 }
 
-// Error names the keys.
+// Error returns a message with the number of items.
 func (con *ConflictError) Error() string {
 	return fmt.Sprintf("condition failed on %d items", len(con.Current))
 }
 
-// Item returns the current item of a key. It has revision 0 if the key does
-// not exist.
+// Item returns the current item of a key. It has revision 0 if the key doesn't
+// exist.
 func (con *ConflictError) Item(key string) Item {
 	for _, itm := range con.Current {
 		if itm.Key == key {
@@ -95,7 +97,8 @@
 	return Item{Key: key}
 }
 
-// Page is one page of a range. Several pages are no snapshot.
+// Page is one page of a range. Pages of the same range may be read at different
+// revisions.
 type Page struct {
 	Items []Item
 	More  bool
@@ -103,7 +106,7 @@
 	Revision Revision
 }
 
-// Batch is what a watch returns.
+// Batch is the result of a watch.
 type Batch struct {
 	Changes []Change
 	// Revision is where the next watch continues.
@@ -117,7 +120,7 @@
 	// greater than after.
 	Range(ctx context.Context, prefix, after string) (pag Page, err error)
 	// Watch returns once something under the prefix has changed after a
-	// revision, or when the wait is over.
+	// revision, or when the wait has passed.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) (bat Batch, err error)
 	Commit(ctx context.Context, txn Txn) (rev Revision, err error)
 	Grant(ctx context.Context, ttl time.Duration) (lea LeaseID, err error)
@@ -125,8 +128,8 @@
 	EndLease(ctx context.Context, lea LeaseID) (err error)
 }
 
-// List reads all pages of a prefix. Changes after the revision that it returns
-// are to be read by a watch; some may be in the items already.
+// List reads all pages of a prefix. Changes after the returned revision must be
+// read by a watch; some of them may already be in the items.
 func List(ctx context.Context, sto Store, prefix string) (items []Item, rev Revision, err error) {
 	after := ""
 	for {
