--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock reads the time of a clock that goes on while the VM is
-// suspended, which Go's monotonic clock does not.
+// Package clock reads a clock that keeps running while the VM of the process is
+// suspended, unlike Go's monotonic clock.
 package clock
 
 import (
@@ -9,14 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// Clock tells times that never go back. Its first time is the time of day when
-// it was made; steps of the time of day after that don't show.
+// Clock returns times that never go back. It starts at the time of day when it
+// was made; later steps of the time of day have no effect.
 type Clock struct {
 	wall time.Time
 	boot time.Duration
 }
 
-// New returns a clock.
+// New returns a clock that starts now.
 func New() (clo *Clock, err error) {
 	boot, err := sinceBoot()
 	if err != nil {
@@ -25,7 +25,7 @@
 	return &Clock{wall: time.Now().Round(0), boot: boot}, nil
 }
 
-// Now returns the time.
+// Now returns the clock's time.
 func (clo *Clock) Now() time.Time {
 	boot, err := sinceBoot()
 	if err != nil {
@@ -38,7 +38,7 @@
 func sinceBoot() (span time.Duration, err error) {
 	var tsp unix.Timespec
 	if err = unix.ClockGettime(unix.CLOCK_BOOTTIME, &tsp); err != nil {
-		return 0, fmt.Errorf("read the clock since boot: %w", err)
+		return 0, fmt.Errorf("read CLOCK_BOOTTIME: %w", err)
 	}
 	return time.Duration(tsp.Nano()), nil
 }
--- a/internal/clock/pause.go
+++ b/internal/clock/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits for a span unless the context is done before.
+// Pause waits for a duration or until the context is done.
 func Pause(ctx context.Context, span time.Duration) {
 	tim := time.NewTimer(span)
 	defer tim.Stop()
