--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -52,8 +52,8 @@
 	Attempt int
 }
 
-// RelayAnswer gives the caller the whole answer of the attempt that ended.
-type RelayAnswer struct {
+// RelayResponse gives the caller the whole answer of the attempt that ended.
+type RelayResponse struct {
 	Request uint64
 	Work    work.ID
 	Attempt int
@@ -71,8 +71,8 @@
 	TaskID  string
 }
 
-// TellTask answers a question for a task.
-type TellTask struct {
+// ReplyTaskStatus answers a question for a task.
+type ReplyTaskStatus struct {
 	Request uint64
 	Status  task.Status
 }
@@ -111,8 +111,8 @@
 	Attempt int    `json:"attempt"`
 }
 
-// AnswerOperator answers an operator's change.
-type AnswerOperator struct {
+// ReplyChange answers an operator's change.
+type ReplyChange struct {
 	Request uint64
 	// Accepted changes are in the store and at a majority of the voters.
 	Accepted bool
@@ -121,8 +121,8 @@
 	Message  string
 }
 
-// AnswerStatus answers an operator's question.
-type AnswerStatus struct {
+// ReplyStatus answers an operator's question.
+type ReplyStatus struct {
 	Request uint64
 	Status  Status
 }
@@ -130,8 +130,8 @@
 // Connect names the addresses to keep links to, beside those of the settings.
 type Connect struct{ Voters []table.Voter }
 
-// Adopt makes a configuration known to the driver, for reading only.
-type Adopt struct{ Config *table.Config }
+// PublishConfig makes a configuration known to the driver, for reading only.
+type PublishConfig struct{ Config *table.Config }
 
 // SetReady tells the balancer whether to send callers here.
 type SetReady struct{ Ready bool }
@@ -154,22 +154,22 @@
 	Detail  string
 }
 
-func (Send) isEffect()           {}
-func (CallStore) isEffect()      {}
-func (StartAttempt) isEffect()   {}
-func (AbortAttempt) isEffect()   {}
-func (RelayAnswer) isEffect()    {}
-func (Refuse) isEffect()         {}
-func (AcceptTask) isEffect()     {}
-func (TellTask) isEffect()       {}
-func (StartTask) isEffect()      {}
-func (PollWorker) isEffect()     {}
-func (StopTask) isEffect()       {}
-func (AnswerOperator) isEffect() {}
-func (AnswerStatus) isEffect()   {}
-func (Connect) isEffect()        {}
-func (Adopt) isEffect()          {}
-func (SetReady) isEffect()       {}
-func (StopAccepting) isEffect()  {}
-func (Exit) isEffect()           {}
-func (Record) isEffect()         {}
+func (Send) isEffect()            {}
+func (CallStore) isEffect()       {}
+func (StartAttempt) isEffect()    {}
+func (AbortAttempt) isEffect()    {}
+func (RelayResponse) isEffect()   {}
+func (Refuse) isEffect()          {}
+func (AcceptTask) isEffect()      {}
+func (ReplyTaskStatus) isEffect() {}
+func (StartTask) isEffect()       {}
+func (PollWorker) isEffect()      {}
+func (StopTask) isEffect()        {}
+func (ReplyChange) isEffect()     {}
+func (ReplyStatus) isEffect()     {}
+func (Connect) isEffect()         {}
+func (PublishConfig) isEffect()   {}
+func (SetReady) isEffect()        {}
+func (StopAccepting) isEffect()   {}
+func (Exit) isEffect()            {}
+func (Record) isEffect()          {}
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -18,10 +18,10 @@
 // How often a driver must feed Tick; State.TickWithin tells which of the two
 // holds.
 const (
-	// TickEvery is while something waits.
-	TickEvery = 5 * time.Millisecond
-	// IdleTickEvery is while nothing does.
-	IdleTickEvery = 50 * time.Millisecond
+	// TickInterval is while something waits.
+	TickInterval = 5 * time.Millisecond
+	// IdleTickInterval is while nothing does.
+	IdleTickInterval = 50 * time.Millisecond
 )
 
 // Started is the first event of an entry.
@@ -84,8 +84,8 @@
 	Payload []byte
 }
 
-// TaskAsked is a caller's question for a task.
-type TaskAsked struct {
+// TaskQueried is a caller's question for a task.
+type TaskQueried struct {
 	Request uint64
 	TaskID  string
 	KeyHash string
@@ -125,10 +125,10 @@
 	Work    work.ID
 	Attempt int
 	// Refused means that the worker certainly did not take the task. When
-	// neither Refused nor Taken is set, it may have.
-	Taken   bool
-	Refused bool
-	Reason  string
+	// neither Refused nor Accepted is set, it may have.
+	Accepted bool
+	Refused  bool
+	Reason   string
 }
 
 // WorkerReported answers PollWorker.
@@ -149,8 +149,8 @@
 // lost.
 type PeerDown struct{ Member string }
 
-// PeerSaid is a message of a member.
-type PeerSaid struct {
+// MessageReceived is a message of a member.
+type MessageReceived struct {
 	Member  string
 	Message message.Message
 }
@@ -168,8 +168,8 @@
 // the list has changed.
 type FleetListed struct{ VMs []vm.VM }
 
-// OperatorAsked is an operator's wish to change the configuration.
-type OperatorAsked struct {
+// ChangeRequested is an operator's wish to change the configuration.
+type ChangeRequested struct {
 	Request uint64
 	Change  table.Change
 	// Base is the revision that the operator's tables were made from; zero
@@ -180,34 +180,34 @@
 // MembersGone is an operator's word that members run no more.
 type MembersGone struct{ IDs []string }
 
-// StatusAsked is an operator's question for the entry's status.
-type StatusAsked struct{ Request uint64 }
+// StatusRequested is an operator's question for the entry's status.
+type StatusRequested struct{ Request uint64 }
 
-// ShutdownAsked begins the entry's graceful shutdown.
-type ShutdownAsked struct{}
+// ShutdownRequested begins the entry's graceful shutdown.
+type ShutdownRequested struct{}
 
 // AcceptingStopped follows effect.StopAccepting: every caller has its answer,
 // and none can come any more.
 type AcceptingStopped struct{}
 
-func (AcceptingStopped) isEvent() {}
-func (MembersGone) isEvent()      {}
-func (Started) isEvent()          {}
-func (Tick) isEvent()             {}
-func (RequestArrived) isEvent()   {}
-func (RequestCancelled) isEvent() {}
-func (AttemptEnded) isEvent()     {}
-func (TaskSubmitted) isEvent()    {}
-func (TaskAsked) isEvent()        {}
-func (TaskCancelled) isEvent()    {}
-func (TaskStartEnded) isEvent()   {}
-func (WorkerReported) isEvent()   {}
-func (PeerUp) isEvent()           {}
-func (PeerDown) isEvent()         {}
-func (PeerSaid) isEvent()         {}
-func (StoreAnswered) isEvent()    {}
-func (StoreChanged) isEvent()     {}
-func (FleetListed) isEvent()      {}
-func (OperatorAsked) isEvent()    {}
-func (StatusAsked) isEvent()      {}
-func (ShutdownAsked) isEvent()    {}
+func (AcceptingStopped) isEvent()  {}
+func (MembersGone) isEvent()       {}
+func (Started) isEvent()           {}
+func (Tick) isEvent()              {}
+func (RequestArrived) isEvent()    {}
+func (RequestCancelled) isEvent()  {}
+func (AttemptEnded) isEvent()      {}
+func (TaskSubmitted) isEvent()     {}
+func (TaskQueried) isEvent()       {}
+func (TaskCancelled) isEvent()     {}
+func (TaskStartEnded) isEvent()    {}
+func (WorkerReported) isEvent()    {}
+func (PeerUp) isEvent()            {}
+func (PeerDown) isEvent()          {}
+func (MessageReceived) isEvent()   {}
+func (StoreAnswered) isEvent()     {}
+func (StoreChanged) isEvent()      {}
+func (FleetListed) isEvent()       {}
+func (ChangeRequested) isEvent()   {}
+func (StatusRequested) isEvent()   {}
+func (ShutdownRequested) isEvent() {}
--- a/internal/core/idempotency/memory_test.go
+++ b/internal/core/idempotency/memory_test.go
@@ -13,24 +13,24 @@
 var noon = time.Date(2026, 12, 4, 12, 0, 0, 0, time.UTC)
 
 func TestKeyIsNewOnce(t *testing.T) {
-	mem := idempotency.NewMemory()
-	mem, fresh := mem.WithUse(noon, "k", "a", 1)
+	mem := idempotency.NewRegistry()
+	mem, fresh := mem.WithReservation(noon, "k", "a", 1)
 	assert.Assert(t, fresh)
-	_, fresh = mem.WithUse(noon, "k", "a", 1)
+	_, fresh = mem.WithReservation(noon, "k", "a", 1)
 	assert.Assert(t, fresh, "the same question gets the same answer")
-	_, fresh = mem.WithUse(noon, "k", "a", 2)
+	_, fresh = mem.WithReservation(noon, "k", "a", 2)
 	assert.Assert(t, !fresh)
-	_, fresh = mem.WithUse(noon, "k", "b", 1)
+	_, fresh = mem.WithReservation(noon, "k", "b", 1)
 	assert.Assert(t, !fresh)
-	_, fresh = mem.WithUse(noon.Add(idempotency.KeepFor+1), "k", "b", 1)
+	_, fresh = mem.WithReservation(noon.Add(idempotency.KeyRetention+1), "k", "b", 1)
 	assert.Assert(t, fresh)
 }
 
 func TestOnlyTheOwnerReleasesAKey(t *testing.T) {
-	mem, _ := idempotency.NewMemory().WithUse(noon, "k", "a", 1)
-	_, fresh := mem.WithoutUse("k", "b").WithUse(noon, "k", "b", 1)
+	mem, _ := idempotency.NewRegistry().WithReservation(noon, "k", "a", 1)
+	_, fresh := mem.WithoutReservation("k", "b").WithReservation(noon, "k", "b", 1)
 	assert.Assert(t, !fresh)
-	_, fresh = mem.WithoutUse("k", "a").WithUse(noon, "k", "b", 1)
+	_, fresh = mem.WithoutReservation("k", "a").WithReservation(noon, "k", "b", 1)
 	assert.Assert(t, fresh)
 }
 
@@ -38,21 +38,21 @@
 // hands keys on each time.
 func TestEveryHomeKnowsItsKeysAfterVotersChange(t *testing.T) {
 	voters := []string{"m0", "m1", "m2", "m3", "m4"}
-	memories := map[string]idempotency.Memory{}
+	memories := map[string]idempotency.Registry{}
 	for _, id := range voters {
-		memories[id] = idempotency.NewMemory()
+		memories[id] = idempotency.NewRegistry()
 	}
 	var hashes []string
 	for i := range 50 {
 		hash := fmt.Sprint("hash", i)
 		hashes = append(hashes, hash)
-		for _, home := range idempotency.Homes(voters, hash) {
-			memories[home], _ = memories[home].WithUse(noon, hash, "owner", 1)
+		for _, home := range idempotency.Replicas(voters, hash) {
+			memories[home], _ = memories[home].WithReservation(noon, hash, "owner", 1)
 		}
 	}
 	for i := range 10 {
 		next := append(slices.Clone(voters[1:]), fmt.Sprint("new", i))
-		memories[next[4]] = idempotency.NewMemory()
+		memories[next[4]] = idempotency.NewRegistry()
 		for _, id := range voters[1:] {
 			for _, hdo := range memories[id].Handovers(noon, id, voters, next) {
 				memories[hdo.To] = memories[hdo.To].WithKeys(noon, hdo.Keys)
@@ -61,8 +61,8 @@
 		voters = next
 	}
 	for _, hash := range hashes {
-		for _, home := range idempotency.Homes(voters, hash) {
-			_, fresh := memories[home].WithUse(noon, hash, "other", 1)
+		for _, home := range idempotency.Replicas(voters, hash) {
+			_, fresh := memories[home].WithReservation(noon, hash, "other", 1)
 			assert.Assert(t, !fresh, "%s is new at %s", hash, home)
 		}
 	}
--- a/internal/core/message/wire_test.go
+++ b/internal/core/message/wire_test.go
@@ -12,23 +12,23 @@
 
 // samples holds one message of each type.
 var samples = []message.Message{
-	message.Heartbeat{Revision: 3, AZ: "a", SentNanos: 5, Echo: 4, Spare: []message.Spare{{Team: "t", Permits: 2}}},
+	message.Heartbeat{Revision: 3, AZ: "a", SentNanos: 5, Echo: 4, Spare: []message.SparePermits{{Team: "t", Permits: 2}}},
 	message.Edits{Edits: []table.Edit{table.NewEdit(4, "n", table.AZSet{AZ: "a", Out: true})}},
-	message.SnapshotAsk{Have: 2},
+	message.SnapshotRequest{Have: 2},
 	message.Snapshot{Config: []byte("{}")},
 	message.Demand{Pool: "p", Acknowledged: 7, Lanes: []message.LaneDemand{{Team: "t", Urgency: table.UrgencyUrgent, Waiting: 3, AgeMillis: 9}}},
 	message.Grants{Pool: "p", Grants: []message.Grant{{Seq: 8, VM: "v", Team: "t", Urgency: table.UrgencyNormal}}},
 	message.Recall{Pool: "p", Slots: []message.RecallSlot{{Team: "t", Count: 1}}},
-	message.PermitAsk{Team: "t", Permits: 2, AgeMillis: 5, Urgent: true},
+	message.PermitRequest{Team: "t", Permits: 2, AgeMillis: 5, Urgent: true},
 	message.PermitTransfer{Totals: []permit.Total{{Team: "t", Count: 9}}},
 	message.Freeze{Members: []string{"m"}},
 	message.Frozen{Members: []string{"m"}, Settlement: table.Settlement{Member: "k", Net: []table.TeamPermits{{Team: "t", Permits: -1}}}},
-	message.TaskAsk{AskID: 1, TaskID: "e.1"},
-	message.TaskTold{AskID: 1, Found: true},
-	message.Reserve{AskID: 2, Hash: "h"},
-	message.Reserved{AskID: 2, Hash: "h", Fresh: true},
-	message.Release{Hash: "h"},
-	message.Keep{Keys: []message.Kept{{Hash: "h", Owner: "m", AgeMillis: 3}}},
+	message.TaskQuery{RequestID: 1, TaskID: "e.1"},
+	message.TaskReply{RequestID: 1, Found: true},
+	message.ReserveKey{RequestID: 2, Hash: "h"},
+	message.ReserveKeyReply{RequestID: 2, Hash: "h", Fresh: true},
+	message.ReleaseKey{Hash: "h"},
+	message.KeyHandover{Keys: []message.IdempotencyKey{{Hash: "h", Owner: "m", AgeMillis: 3}}},
 }
 
 func TestEncodeKeepsEveryMessage(t *testing.T) {
--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -82,7 +82,7 @@
 	if sta.adviceFor(stg.live.spec.Queue) == nil || adv.busy || sta.now.Sub(adv.askedAt) < adviceRetry {
 		return
 	}
-	room := stg.step.Room()
+	room := stg.step.Reservation()
 	var first, later []string
 	for _, hos := range hosts {
 		switch {
@@ -105,7 +105,7 @@
 
 // question is one that is to be put to the advisor.
 type question struct {
-	bid   priority.Bid
+	bid   priority.Key
 	stage *stage
 	vms   []string
 	// early says that no task of the stage could start yet, for want of room or
@@ -138,13 +138,13 @@
 		adv := &que.stage.advice
 		adv.busy, adv.askedAt = true, sta.now
 		liv := que.stage.live
-		sta.emit(Advise{Job: liv.spec.ID, Occurrence: que.stage.occ, Step: que.stage.index, VMs: que.vms, Decision: sta.adviceTime(liv.spec.Queue)})
+		sta.emit(QueryAdvisor{Job: liv.spec.ID, Occurrence: que.stage.occ, Step: que.stage.index, VMs: que.vms, Latency: sta.adviceTime(liv.spec.Queue)})
 	}
 	sta.questions = nil
 }
 
 // advised takes in the advisor's answer.
-func (sta *State) advised(evt Advised) {
+func (sta *State) advised(evt AdvisorAnswered) {
 	sta.asking--
 	stg := sta.stageOf(job.Task{Job: evt.Job, Occurrence: evt.Occurrence, Step: evt.Step})
 	if stg == nil {
--- a/internal/core/scheduler/assign.go
+++ b/internal/core/scheduler/assign.go
@@ -11,7 +11,7 @@
 // waitingStage is a stage with tasks that wait for room.
 type waitingStage struct {
 	stage *stage
-	bid   priority.Bid
+	bid   priority.Key
 }
 
 // viewAge bounds how old the view of jobs may be to start tasks by it: a job may
@@ -71,10 +71,10 @@
 	return liv.pool
 }
 
-func (sta *State) bid(stg *stage) priority.Bid {
+func (sta *State) bid(stg *stage) priority.Key {
 	liv := stg.live
 	occ := liv.occs[stg.occ]
-	bid := priority.Bid{Lasts: stg.step.LongRunning, Excess: liv.excess, Job: string(liv.spec.ID)}
+	bid := priority.Key{IsLongRunning: stg.step.LongRunning, Excess: liv.excess, Job: string(liv.spec.ID)}
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
 		bid.Priority = que.Priority
 	}
@@ -183,7 +183,7 @@
 // others of the stage that are to start there.
 func (sta *State) allows(stg *stage, hos *host, planned int) bool {
 	ste := stg.step
-	if !ste.Room().Times(planned + 1).Fits(hos.vm.Capacity.Minus(hos.used)) {
+	if !ste.Reservation().Times(planned + 1).Fits(hos.vm.Capacity.Minus(hos.used)) {
 		return false
 	}
 	if ste.Label != "" && !hos.vm.HasLabel(ste.Label) {
@@ -250,7 +250,7 @@
 		}
 	}
 	if cpu := hos.vm.Capacity.CPU; cpu > 0 {
-		sco.free = float64(cpu-hos.used.CPU-ste.Room().CPU*int64(planned+1)) / float64(cpu)
+		sco.free = float64(cpu-hos.used.CPU-ste.Reservation().CPU*int64(planned+1)) / float64(cpu)
 	}
 	return sco
 }
--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -38,11 +38,11 @@
 
 // register takes in a VM's registration.
 func (sta *State) register(one worker.VM) {
-	if old, ok := sta.lost.get(one.ID); ok && old.SameLife(one) {
+	if old, ok := sta.lost.get(one.ID); ok && old.SameIncarnation(one) {
 		return
 	}
 	hos := sta.hosts[one.ID]
-	if hos != nil && hos.vm.SameLife(one) {
+	if hos != nil && hos.vm.SameIncarnation(one) {
 		if hos.vm.Leaving != one.Leaving {
 			sta.note("vm_leaving", "", map[string]any{"vm": one.ID, "leaving": one.Leaving})
 		}
@@ -115,7 +115,7 @@
 func (sta *State) hold(hos *host, stg *stage, name job.Task, run int, state runState) *held {
 	hel := &held{task: name, run: run, state: state, since: sta.now, stage: stg, pace: pace.Full}
 	if stg != nil {
-		hel.room, hel.size, hel.owner = stg.step.Room(), stg.step.Size, stg.live.spec.Account
+		hel.room, hel.size, hel.owner = stg.step.Reservation(), stg.step.Size, stg.live.spec.Account
 		tas := &stg.tasks[name.Index]
 		tas.run = max(tas.run, run)
 		if tas.phase == phaseWaiting {
@@ -170,7 +170,7 @@
 }
 
 func (sta *State) sendLook(hos *host) {
-	loo := Look{VM: hos.vm, Acked: hos.acked}
+	loo := Poll{VM: hos.vm, Acked: hos.acked}
 	// A look that stays unanswered may arrive all the same. One that extended the
 	// lease of a silent VM would put off the time when its tasks may start
 	// elsewhere.
@@ -200,7 +200,7 @@
 }
 
 // looked takes in a VM's answer to a look.
-func (sta *State) looked(hos *host, evt Looked) {
+func (sta *State) looked(hos *host, evt PollAnswered) {
 	hos.looking = false
 	hos.nextLook = sta.now.Add(lookPause)
 	if len(evt.Report.Ends) > 0 {
@@ -211,7 +211,7 @@
 		sta.report(hos, evt)
 	case worker.ResultFenced:
 		sta.giveUp("VM " + hos.vm.ID + " has answered a higher term")
-	case worker.ResultOtherLife:
+	case worker.ResultOtherIncarnation:
 		sta.lose(hos, "another life answers at its address")
 	default:
 		hos.failedLooks++
@@ -223,7 +223,7 @@
 }
 
 // report takes in what a VM runs and what has ended there.
-func (sta *State) report(hos *host, evt Looked) {
+func (sta *State) report(hos *host, evt PollAnswered) {
 	if born := evt.Report.Born; born != 0 {
 		if hos.vm.Born != 0 && born != hos.vm.Born {
 			sta.lose(hos, "born anew")
--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -20,11 +20,11 @@
 )
 
 // waveAsked takes in a wave.
-func (sta *State) waveAsked(evt WaveAsked) {
+func (sta *State) waveAsked(evt WaveRequested) {
 	if wav := sta.waves[evt.Wave.Number]; wav != nil {
 		return
 	}
-	plan := upkeep.Plan{Wave: evt.Wave, Asked: sta.now}
+	plan := upkeep.Plan{Wave: evt.Wave, RequestedAt: sta.now}
 	for _, name := range evt.Begun {
 		plan = plan.WithBegun(name)
 	}
@@ -53,7 +53,7 @@
 	exists := func(name string) bool { _, ok := sta.machines.byName[name]; return ok }
 	if wav.plan.Completed(exists) && len(wav.ordered) == 0 {
 		wav.completed = true
-		sta.note("wave_completed", "", map[string]any{"wave": number, "age_ms": sta.now.Sub(wav.plan.Asked).Milliseconds()})
+		sta.note("wave_completed", "", map[string]any{"wave": number, "age_ms": sta.now.Sub(wav.plan.RequestedAt).Milliseconds()})
 		sta.emit(SaveWave{Number: number, Begun: wav.begun(), Completed: true})
 		return
 	}
@@ -79,7 +79,7 @@
 	for _, name := range stp.Begin {
 		// Machines that go down before it in this round may hold tasks of the same
 		// step.
-		if sta.candidate(name).Breaks() {
+		if sta.candidate(name).ExceedsBudget() {
 			continue
 		}
 		wav.ordered[name] = true
@@ -151,7 +151,7 @@
 		can.Up = false
 		return can
 	}
-	shares := map[*stage]upkeep.LastingShare{}
+	shares := map[*stage]upkeep.StepShare{}
 	var lasting []*stage
 	for _, hel := range hos.list {
 		stg := hel.stage
@@ -164,23 +164,23 @@
 				lasting = append(lasting, stg)
 			}
 			if hel.working() {
-				sha.Here++
+				sha.Local++
 			}
 			shares[stg] = sha
 			continue
 		}
 		left := stg.step.Estimate - sta.now.Sub(hel.since)
-		can.Left = max(can.Left, left)
-		can.Lost += stg.step.Size.Cores() * sta.now.Sub(hel.since).Seconds()
-		if can.Lost == 0 {
-			can.Lost = stg.step.Size.Cores()
+		can.Remaining = max(can.Remaining, left)
+		can.LostWork += stg.step.Size.Cores() * sta.now.Sub(hel.since).Seconds()
+		if can.LostWork == 0 {
+			can.LostWork = stg.step.Size.Cores()
 		}
 	}
 	for _, stg := range lasting {
 		sha := shares[stg]
 		sha.MayMiss = stg.step.MayMiss
-		sha.Away = stg.away(hos)
-		can.Lasting = append(can.Lasting, sha)
+		sha.Unavailable = stg.away(hos)
+		can.StepShares = append(can.StepShares, sha)
 	}
 	return can
 }
@@ -195,8 +195,8 @@
 		if stg == nil || !stg.step.LongRunning || done[stg] || !hel.working() {
 			continue
 		}
-		sha := upkeep.LastingShare{Here: hos.working(stg), Away: stg.away(hos), MayMiss: stg.step.MayMiss}
-		if !sha.Relocates() {
+		sha := upkeep.StepShare{Local: hos.working(stg), Unavailable: stg.away(hos), MayMiss: stg.step.MayMiss}
+		if !sha.NeedsRelocation() {
 			continue
 		}
 		done[stg] = true
@@ -298,7 +298,7 @@
 	if evt.Machines == nil {
 		return
 	}
-	sta.machines.listed = evt.Asked
+	sta.machines.listed = evt.RequestedAt
 	sta.machines.byName = make(map[string]worker.Machine, len(evt.Machines))
 	sta.machines.byVM = make(map[string]string, len(evt.Machines))
 	for _, mac := range evt.Machines {
@@ -309,7 +309,7 @@
 	}
 	sta.machineNames = slices.Sorted(maps.Keys(sta.machines.byName))
 	for _, hos := range slices.Clone(sta.hostList) {
-		sta.checkListed(hos, evt.Asked)
+		sta.checkListed(hos, evt.RequestedAt)
 	}
 }
 
--- a/internal/core/task/log.go
+++ b/internal/core/task/log.go
@@ -44,13 +44,13 @@
 	return Log{kept: immutable.NewSortedMap[string, Record](nil)}
 }
 
-// Kept returns a record that the store has.
-func (log Log) Kept(id string) (rec Record, ok bool) {
+// Stored returns a record that the store has.
+func (log Log) Stored(id string) (rec Record, ok bool) {
 	return log.kept.Get(id)
 }
 
-// KeptCount returns the number of tasks of which the store has a record.
-func (log Log) KeptCount() int { return log.kept.Len() }
+// StoredCount returns the number of tasks of which the store has a record.
+func (log Log) StoredCount() int { return log.kept.Len() }
 
 // Latest returns the newest record of a task, kept or not.
 func (log Log) Latest(id string) (rec Record, ok bool) {
@@ -85,9 +85,9 @@
 	return log, removed
 }
 
-// WithFlight returns the log with as many pending records in flight as one
+// WithInFlight returns the log with as many pending records in flight as one
 // segment holds.
-func (log Log) WithFlight(now time.Time) Log {
+func (log Log) WithInFlight(now time.Time) Log {
 	size, count := 0, 0
 	for _, rec := range log.pending {
 		size += len(rec.Payload) + len(rec.Result) + recordOverhead
@@ -187,8 +187,8 @@
 	return log
 }
 
-// WithoutFlight returns the log after the records in flight were given up.
-func (log Log) WithoutFlight() Log {
+// WithoutInFlight returns the log after the records in flight were given up.
+func (log Log) WithoutInFlight() Log {
 	log.flight = nil
 	return log
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -260,7 +260,7 @@
 func (ele *Elector) renew(ctx context.Context, ten *Tenure) {
 	lease := ten.Current().Lease
 	for ctx.Err() == nil {
-		clock.Pause(ctx, duty.RenewEvery)
+		clock.Pause(ctx, duty.RenewInterval)
 		if ctx.Err() != nil {
 			return
 		}
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -65,9 +65,9 @@
 		Since: cur.Since, Revision: cur.Revision, Term: cur.Holder.Term,
 		Lease:    min(maxTaskLease, time.Duration(float64(bnd.MaxTaskLease)*leaseFraction)),
 		StopTime: bnd.StopTime, UpkeepTime: bnd.Upkeep,
-		KeepEnded:      bnd.KeepEnded,
-		ShareWindow:    bnd.ShareWindow,
-		MovesPerSecond: set.MachineOrdersPerSecond,
+		KeepEnded:              bnd.KeepEnded,
+		ShareWindow:            bnd.ShareWindow,
+		MachineOrdersPerSecond: set.MachineOrdersPerSecond,
 	})
 	go dis.loadState(ctx)
 	go dis.followTicketSources(ctx)
@@ -104,7 +104,7 @@
 		}
 		if size := dis.ticketPool.Available(); size != dis.reportedSources {
 			dis.reportedSources = size
-			batch = append(batch, scheduler.AskersChanged{Count: size})
+			batch = append(batch, scheduler.AdvisorSlotsChanged{Count: size})
 		}
 		effects := dis.sta.Reduce(now, batch)
 		batch = batch[:0]
@@ -162,7 +162,7 @@
 	}
 	go dis.follow(ctx, platform.VMPrefix, dis.vmsReset(ctx), func(cha kv.Change) { dis.vmChanged(ctx, cha) }, nil)
 	go dis.follow(ctx, job.LivePrefix, dis.jobsReset(ctx, progress), func(cha kv.Change) { dis.jobChanged(ctx, cha, nil) },
-		func(sent time.Time) { dis.send(ctx, scheduler.ViewConfirmed{At: sent}) })
+		func(sent time.Time) { dis.send(ctx, scheduler.JobWatchProgressed{At: sent}) })
 	go dis.loadEndedJobs(ctx)
 	dis.followOperator(ctx, sna)
 }
@@ -178,7 +178,7 @@
 	if !ok {
 		return
 	}
-	var evt scheduler.EndedListed
+	var evt scheduler.EndedJobsListed
 	for _, itm := range items {
 		out, err := job.Unmarshal[job.Outcome](itm.Value)
 		if err != nil {
@@ -326,7 +326,7 @@
 					return
 				}
 				sent[number] = true
-				dis.send(ctx, scheduler.WaveAsked{Wave: wav, Begun: begun})
+				dis.send(ctx, scheduler.WaveRequested{Wave: wav, Begun: begun})
 			}
 		}
 		for number := range sent {
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -26,7 +26,7 @@
 		rnr.startAttempt(eff)
 	case effect.AbortAttempt:
 		rnr.abort(attemptKey{eff.Work, eff.Attempt})
-	case effect.RelayAnswer:
+	case effect.RelayResponse:
 		rnr.relay(eff)
 	case effect.StartTask:
 		go func() { rnr.Post(rnr.workers.Start(rnr.calls, eff)) }()
@@ -36,7 +36,7 @@
 		go rnr.workers.Stop(rnr.calls, eff)
 	case effect.Connect:
 		rnr.connect(eff.Voters)
-	case effect.Adopt:
+	case effect.PublishConfig:
 		rnr.config.Store(eff.Config)
 	case effect.SetReady:
 		rnr.setReady(eff.Ready)
@@ -58,11 +58,11 @@
 		rnr.exchanges.Finish(eff.Request, exchange.Refusal{Refusal: eff.Refusal})
 	case effect.AcceptTask:
 		rnr.exchanges.Finish(eff.Request, exchange.Accepted{TaskID: eff.TaskID})
-	case effect.TellTask:
+	case effect.ReplyTaskStatus:
 		rnr.exchanges.Finish(eff.Request, exchange.Told{Status: eff.Status})
-	case effect.AnswerOperator:
+	case effect.ReplyChange:
 		rnr.exchanges.Finish(eff.Request, exchange.Changed{Answer: eff})
-	case effect.AnswerStatus:
+	case effect.ReplyStatus:
 		rnr.exchanges.Finish(eff.Request, exchange.Reported{Status: eff.Status})
 	}
 }
@@ -112,7 +112,7 @@
 	}
 }
 
-func (rnr *Runner) relay(eff effect.RelayAnswer) {
+func (rnr *Runner) relay(eff effect.RelayResponse) {
 	exc, ok := rnr.exchanges.Get(eff.Request)
 	if !ok {
 		return
