--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -67,7 +67,7 @@
 		StopTime: bnd.StopTime, UpkeepTime: bnd.Upkeep,
 		KeepEnded:              bnd.KeepEnded,
 		ShareWindow:            bnd.ShareWindow,
-		MachineOrdersPerSecond: set.MachineOrdersPerSecond,
+		MachineOrdersPerSecond: set.MachineOrderRate,
 	})
 	go dis.loadState(ctx)
 	go dis.followTicketSources(ctx)
