--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -35,7 +35,8 @@
 	// minTenure is how long such a holder keeps the duty, so that larger VMs
 	// that restart are back.
 	minTenure = 4 * time.Second
-	// handbackInterval is how long it keeps the duty if no larger VM took it.
+	// handbackInterval is how long such a holder keeps the duty after it has
+	// handed it back and no larger VM took it.
 	handbackInterval = 20 * time.Second
 	// claimPollInterval is how often a process that doesn't hold the duty
 	// checks whether it is free, in case no watch reports it.
@@ -240,7 +241,7 @@
 // hold runs the dispatcher and renews the lease until the lease is lost, the
 // tenure ends or the context is done.
 func (ele *Elector) hold(ctx context.Context, ten *Tenure) {
-	work, cancel := context.WithCancel(ctx)
+	dutyCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	ten.cancel = cancel
 	cur := ten.Current()
@@ -248,15 +249,17 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ele.opt.Dispatch(work, ten)
+		ele.opt.Dispatch(dutyCtx, ten)
 	}()
-	ele.renew(work, ten)
+	ele.renew(dutyCtx, ten)
 	cancel()
 	<-done
 	ele.opt.Log.Event("duty_ended", decisionlog.Fields{"term": cur.Holder.Term, "shutdown": ctx.Err() != nil})
 	ele.revokeLease(cur.Lease)
 }
 
+// renew renews the lease until it is lost or handed back, or until the context
+// is done.
 func (ele *Elector) renew(ctx context.Context, ten *Tenure) {
 	lease := ten.Current().Lease
 	for ctx.Err() == nil {
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -102,9 +102,9 @@
 			// Events are kept until the duty is guaranteed to be held again.
 			continue
 		}
-		if size := dis.ticketPool.Available(); size != dis.reportedSources {
-			dis.reportedSources = size
-			batch = append(batch, scheduler.AdvisorSlotsChanged{Count: size})
+		if available := dis.ticketPool.Available(); available != dis.reportedSources {
+			dis.reportedSources = available
+			batch = append(batch, scheduler.AdvisorSlotsChanged{Count: available})
 		}
 		effects := dis.sta.Reduce(now, batch)
 		batch = batch[:0]
--- a/internal/manager/load.go
+++ b/internal/manager/load.go
@@ -52,7 +52,7 @@
 	lov.load, lov.read = loa, lov.now()
 }
 
-// maxLoadAge is the age from which a load is too old to refuse jobs.
+// maxLoadAge is the age beyond which a load is no longer used to refuse jobs.
 const maxLoadAge = 2500 * time.Millisecond
 
 // admit decides whether a queue admits a job. Without a recent load it admits
--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -90,16 +90,16 @@
 		nod.log.Event("stopped", decisionlog.Fields{"error": fmt.Sprint(err)})
 	}()
 	nod.log.Event("started", decisionlog.Fields{"az": nod.settings().AZ, "callers": nod.settings().Callers, "store": nod.settings().Store, "pid": os.Getpid()})
-	work, stop := context.WithCancel(context.Background())
+	workCtx, stop := context.WithCancel(context.Background())
 	defer stop()
 	// The duty is released first, so that another process takes it over while
 	// this one finishes its open calls.
-	dutyCtx, releaseDuty := context.WithCancel(work)
+	dutyCtx, releaseDuty := context.WithCancel(workCtx)
 	defer releaseDuty()
 	var group run.Group
 	dutyReleased := make(chan struct{})
 	group.Add(func() error { defer close(dutyReleased); nod.election.Run(dutyCtx); return nil }, func(error) { releaseDuty() })
-	nod.addFollowers(work, &group, stop)
+	nod.addFollowers(workCtx, &group, stop)
 	for _, srv := range []struct {
 		address string
 		handler http.Handler
@@ -114,11 +114,12 @@
 	}
 	registration := &advisory.Registration{Store: nod.store, Name: nod.settings().Name, Address: nod.internalAddress(), Needed: nod.needsAdvice, Log: nod.log}
 	group.Add(func() error { registration.Run(dutyCtx); return nil }, func(error) {})
-	group.Add(func() error { nod.followSettings(work); return nil }, func(error) { stop() })
+	group.Add(func() error { nod.followSettings(workCtx); return nil }, func(error) { stop() })
 	group.Add(func() error { <-ctx.Done(); return nil }, func(error) {})
 	return group.Run()
 }
 
+// addFollowers follows the operator's keys and those of the duty.
 func (nod *Node) addFollowers(ctx context.Context, group *run.Group, stop context.CancelFunc) {
 	for _, fol := range []*follow.Follower{
 		{
@@ -232,6 +233,7 @@
 	metrics.WriteOnce(nod.metrics, wri)
 }
 
+// dutyReset applies all keys of the duty.
 func (nod *Node) dutyReset(items []kv.Item) {
 	held := false
 	largest := kv.Item{Key: election.LargestKey}
@@ -248,6 +250,7 @@
 	}
 }
 
+// dutyChanged applies a change of a key of the duty.
 func (nod *Node) dutyChanged(cha kv.Change) {
 	switch cha.Item.Key {
 	case duty.HolderKey:
--- a/internal/manager/view.go
+++ b/internal/manager/view.go
@@ -57,6 +57,7 @@
 	return opv.view
 }
 
+// confirm records that the view was the newest when a read or watch was sent.
 func (opv *operatorView) confirm(sent time.Time) {
 	opv.mu.Lock()
 	defer opv.mu.Unlock()
