--- a/internal/advisory/question.go
+++ b/internal/advisory/query.go
@@ -7,23 +7,24 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/job"
 )
 
-// Question asks which VMs may run a step of one occurrence of a job.
-type Question struct {
+// Query asks which VMs may run a step of one occurrence of a job.
+type Query struct {
 	Job        job.ID   `msgpack:"j"`
 	Occurrence int      `msgpack:"o"`
 	Step       int      `msgpack:"s"`
 	VMs        []string `msgpack:"v"`
 }
 
-// Tickets are the VMs that may run a step.
+// Tickets allow VMs to run a step.
 type Tickets struct {
 	// ByVM holds the ticket of each VM that may run the step.
 	ByVM map[string]string `msgpack:"t"`
-	// Valid is how long the tickets hold.
+	// Valid is how long the tickets are valid.
 	Valid time.Duration `msgpack:"v"`
 }
 
-// Asker puts questions to the advisor.
-type Asker interface {
-	Ask(ctx context.Context, que Question) (tks Tickets, err error)
+// TicketSource requests tickets from the advisor, directly or through another
+// entry.
+type TicketSource interface {
+	RequestTickets(ctx context.Context, que Query) (tks Tickets, err error)
 }
--- a/internal/core/scheduler/advice_test.go
+++ b/internal/core/scheduler/advice_test.go
@@ -29,7 +29,7 @@
 	return ok && now.Before(until) && strings.HasPrefix(ord.Ticket, ord.VM.ID+"/")
 }
 
-func (emu *emulator) performAdvise(eff Advise) {
+func (emu *emulator) performAdvise(eff QueryAdvisor) {
 	adv := emu.advisor
 	adv.asked++
 	adv.busy++
@@ -42,7 +42,7 @@
 			return
 		}
 		adv.busy--
-		evt := Advised{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, Sent: sent, VMs: eff.VMs, Tickets: map[string]string{}, Valid: adv.advice.Valid}
+		evt := AdvisorAnswered{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, Sent: sent, VMs: eff.VMs, Tickets: map[string]string{}, Valid: adv.advice.Valid}
 		hash := fnv.New32()
 		fmt.Fprintf(hash, "%s.%d", eff.Job, eff.Step)
 		for _, vm := range eff.VMs {
--- a/internal/core/scheduler/effect.go
+++ b/internal/core/scheduler/effect.go
@@ -11,8 +11,8 @@
 // Effect is something to be done.
 type Effect interface{ effect() }
 
-// Look asks a VM what it runs, and extends the lease of all that runs there.
-type Look struct {
+// Poll asks a VM what it runs, and extends the lease of all that runs there.
+type Poll struct {
 	VM worker.VM
 	// Acked is the highest number of an end that is stored.
 	Acked int64
@@ -53,14 +53,14 @@
 // still holds the duty.
 type Commit struct{ Txn kv.Txn }
 
-// Advise asks which VMs may run a step.
-type Advise struct {
+// QueryAdvisor asks which VMs may run a step.
+type QueryAdvisor struct {
 	Job        job.ID
 	Occurrence int
 	Step       int
 	VMs        []string
-	// Decision is how long the advisor takes.
-	Decision time.Duration
+	// Latency is how long the advisor takes.
+	Latency time.Duration
 }
 
 // ListMachines asks for the list of machines.
@@ -88,27 +88,27 @@
 // Forget says that a life of a VM has ended: no calls are made to it any more.
 type Forget struct{ VM worker.VM }
 
-// GiveUp ends the duty: another dispatcher has taken it.
-type GiveUp struct{ Reason string }
+// StepDown ends the duty: another dispatcher has taken it.
+type StepDown struct{ Reason string }
 
-// Note is a decision for the log.
-type Note struct {
+// LogDecision is a decision for the log.
+type LogDecision struct {
 	Name string
 	// Job is empty if the decision concerns none.
 	Job    job.ID
 	Fields map[string]any
 }
 
-func (Look) effect()         {}
+func (Poll) effect()         {}
 func (Start) effect()        {}
 func (Stop) effect()         {}
 func (Pace) effect()         {}
 func (Commit) effect()       {}
-func (Advise) effect()       {}
+func (QueryAdvisor) effect() {}
 func (ListMachines) effect() {}
 func (Upkeep) effect()       {}
 func (SaveWave) effect()     {}
 func (Move) effect()         {}
 func (Forget) effect()       {}
-func (GiveUp) effect()       {}
-func (Note) effect()         {}
+func (StepDown) effect()     {}
+func (LogDecision) effect()  {}
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -272,7 +272,7 @@
 	events := emu.inbox
 	emu.inbox = nil
 	if !emu.blind {
-		events = append(events, ViewConfirmed{At: emu.now})
+		events = append(events, JobWatchProgressed{At: emu.now})
 	}
 	for _, eff := range emu.sched.Reduce(emu.now, events) {
 		emu.perform(eff)
@@ -291,7 +291,7 @@
 	emu.tell(CatalogChanged{Catalog: emu.catalog})
 	if emu.advisor != nil {
 		emu.advisor.busy = 0
-		emu.tell(AskersChanged{Count: emu.advisor.askers})
+		emu.tell(AdvisorSlotsChanged{Count: emu.advisor.askers})
 	}
 	for _, name := range emu.names {
 		if vm := emu.vms[name]; vm.up {
@@ -326,10 +326,10 @@
 		emu.tell(evt)
 	}
 	if emu.wave != nil {
-		emu.tell(WaveAsked{Wave: *emu.wave, Begun: emu.begun})
+		emu.tell(WaveRequested{Wave: *emu.wave, Begun: emu.begun})
 	}
 	emu.tell(Loaded{})
-	var ended EndedListed
+	var ended EndedJobsListed
 	for _, itm := range emu.store.sorted(job.EndedPrefix) {
 		out, err := job.Unmarshal[job.Outcome](itm.Value)
 		if err != nil {
@@ -376,7 +376,7 @@
 
 func (emu *emulator) perform(eff Effect) {
 	switch eff := eff.(type) {
-	case Look:
+	case Poll:
 		emu.known[eff.VM.ID] = true
 		emu.performLook(eff)
 	case Start:
@@ -389,11 +389,11 @@
 		})
 	case Commit:
 		emu.performCommit(eff)
-	case Advise:
+	case QueryAdvisor:
 		emu.performAdvise(eff)
 	case ListMachines:
 		asked := emu.now
-		emu.after(emulatedLatency, func() { emu.tell(MachinesListed{Asked: asked, Machines: emu.machines()}) })
+		emu.after(emulatedLatency, func() { emu.tell(MachinesListed{RequestedAt: asked, Machines: emu.machines()}) })
 	case Upkeep:
 		emu.performUpkeep(eff)
 	case Move:
@@ -405,11 +405,11 @@
 				emu.begun = eff.Begun
 			}
 		})
-	case GiveUp:
+	case StepDown:
 		emu.killDispatcher()
 	case Forget:
 		delete(emu.known, eff.VM.ID)
-	case Note:
+	case LogDecision:
 		emu.notes[eff.Name]++
 	}
 }
@@ -432,7 +432,7 @@
 // askWave asks for the upkeep of all VMs.
 func (emu *emulator) askWave(wav upkeep.Wave) {
 	emu.wave = &wav
-	emu.tell(WaveAsked{Wave: wav})
+	emu.tell(WaveRequested{Wave: wav})
 }
 
 // end ends a life without a trace, as an order for its machine does.
@@ -535,7 +535,7 @@
 			return 0, false
 		}
 		if vm.vm.ID != one.ID {
-			return worker.ResultOtherLife, true
+			return worker.ResultOtherIncarnation, true
 		}
 		return carryOut(vm, term), true
 	}
@@ -571,7 +571,7 @@
 		}
 		vm.lapsed = emu.now
 		for _, name := range vm.sorted() {
-			emu.endOn(vm, name, vm.runs[name], worker.EndLapsed)
+			emu.endOn(vm, name, vm.runs[name], worker.EndLeaseExpired)
 		}
 	})
 }
@@ -597,8 +597,8 @@
 	for _, run := range vm.runs {
 		used = used.Plus(run.size)
 	}
-	if !used.Plus(ste.Room()).Fits(vm.vm.Capacity) {
-		if emu.catalog.Pools[0].GuardsRoom {
+	if !used.Plus(ste.Reservation()).Fits(vm.vm.Capacity) {
+		if emu.catalog.Pools[0].EnforcesCapacity {
 			return worker.ResultNoRoom
 		}
 		emu.fail("%s run %d brings %s over its capacity", ord.Task, ord.Run, vm.vm.ID)
@@ -608,7 +608,7 @@
 		return worker.ResultNoTicket
 	}
 	emu.checkStart(vm, ord, spe)
-	run := &emulatedRun{run: ord.Run, since: emu.now, size: ste.Room(), owner: spe.Account}
+	run := &emulatedRun{run: ord.Run, since: emu.now, size: ste.Reservation(), owner: spe.Account}
 	vm.runs[ord.Task] = run
 	emu.truthOf(ord.Task).running++
 	emu.truthOf(ord.Task).starts = append(emu.truthOf(ord.Task).starts, emu.now)
@@ -628,7 +628,7 @@
 	incomplete := func() bool { return ste.Gang && len(emu.gang(ord.Task, ord.Run, ste.Count)) < ste.Count }
 	emu.after(emulatedGangTimeout, func() {
 		if runs() && incomplete() {
-			emu.endOn(vm, ord.Task, run, worker.EndAlone)
+			emu.endOn(vm, ord.Task, run, worker.EndGangIncomplete)
 		}
 	})
 	emu.after(emu.duration(ord.Task, ste), func() {
@@ -666,7 +666,7 @@
 // endGangOf ends the other members of a gang of which one has ended.
 func (emu *emulator) endGangOf(name job.Task, run, count int, kind worker.EndKind) {
 	if kind != worker.EndDone {
-		kind = worker.EndBroken
+		kind = worker.EndGangBroken
 	}
 	members := emu.gang(name, run, count)
 	for i := range count {
@@ -770,7 +770,7 @@
 	return worker.ResultOK
 }
 
-func (emu *emulator) performLook(eff Look) {
+func (emu *emulator) performLook(eff Poll) {
 	sent, term := emu.now, emu.term
 	answered := false
 	answer := func(res worker.Result, rep worker.Report) {
@@ -780,7 +780,7 @@
 		answered = true
 		emu.after(emulatedLatency, func() {
 			if term == emu.term {
-				emu.tell(Looked{VM: eff.VM, Sent: sent, Report: rep, Result: res})
+				emu.tell(PollAnswered{VM: eff.VM, Sent: sent, Report: rep, Result: res})
 			}
 		})
 	}
@@ -791,7 +791,7 @@
 			return
 		}
 		if vm.vm.ID != eff.VM.ID {
-			answer(worker.ResultOtherLife, worker.Report{})
+			answer(worker.ResultOtherIncarnation, worker.Report{})
 			return
 		}
 		if term < vm.fence {
@@ -913,7 +913,7 @@
 	}
 	worst := 0
 	spe := emu.specs[id]
-	for occ := range spe.Runs() {
+	for occ := range spe.OccurrenceCount() {
 		for i, ste := range spe.Steps {
 			failed := 0
 			for j := range ste.Count {
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -44,13 +44,13 @@
 
 // MachinesListed brings the list of machines.
 type MachinesListed struct {
-	// Asked is when the list was asked for.
-	Asked    time.Time
-	Machines []worker.Machine
+	// RequestedAt is when the list was asked for.
+	RequestedAt time.Time
+	Machines    []worker.Machine
 }
 
-// Looked answers a Look.
-type Looked struct {
+// PollAnswered answers a Look.
+type PollAnswered struct {
 	VM     worker.VM
 	Sent   time.Time
 	Report worker.Report
@@ -87,8 +87,8 @@
 	Err      error
 }
 
-// Advised answers an Advise. Tickets is nil if no advice came.
-type Advised struct {
+// AdvisorAnswered answers an Advise. Tickets is nil if no advice came.
+type AdvisorAnswered struct {
 	Job        job.ID
 	Occurrence int
 	Step       int
@@ -99,12 +99,12 @@
 	Valid   time.Duration
 }
 
-// AskersChanged says how many questions may be put to the advisor at once.
-type AskersChanged struct{ Count int }
+// AdvisorSlotsChanged says how many questions may be put to the advisor at once.
+type AdvisorSlotsChanged struct{ Count int }
 
-// WaveAsked brings a wave of upkeep, with the machines whose upkeep a former
+// WaveRequested brings a wave of upkeep, with the machines whose upkeep a former
 // dispatcher began.
-type WaveAsked struct {
+type WaveRequested struct {
 	Wave  upkeep.Wave
 	Begun []string
 }
@@ -120,34 +120,34 @@
 	Result worker.MachineResult
 }
 
-// EndedListed brings the jobs that are stored as ended.
-type EndedListed struct{ Jobs []EndedJob }
+// EndedJobsListed brings the jobs that are stored as ended.
+type EndedJobsListed struct{ Jobs []EndedJob }
 
-// ViewConfirmed says that all changes of jobs up to a time have been brought.
-type ViewConfirmed struct{ At time.Time }
+// JobWatchProgressed says that all changes of jobs up to a time have been brought.
+type JobWatchProgressed struct{ At time.Time }
 
 // Loaded says that all jobs, VMs and waves that were stored when the duty was
 // taken have been brought.
 type Loaded struct{}
 
-func (Tick) event()            {}
-func (CatalogChanged) event()  {}
-func (ZonesChanged) event()    {}
-func (JobAccepted) event()     {}
-func (JobCancelled) event()    {}
-func (VMRegistered) event()    {}
-func (VMUnregistered) event()  {}
-func (MachinesListed) event()  {}
-func (Looked) event()          {}
-func (StartAnswered) event()   {}
-func (StopAnswered) event()    {}
-func (PaceAnswered) event()    {}
-func (Committed) event()       {}
-func (Advised) event()         {}
-func (AskersChanged) event()   {}
-func (WaveAsked) event()       {}
-func (WaveWithdrawn) event()   {}
-func (MachineAnswered) event() {}
-func (EndedListed) event()     {}
-func (ViewConfirmed) event()   {}
-func (Loaded) event()          {}
+func (Tick) event()                {}
+func (CatalogChanged) event()      {}
+func (ZonesChanged) event()        {}
+func (JobAccepted) event()         {}
+func (JobCancelled) event()        {}
+func (VMRegistered) event()        {}
+func (VMUnregistered) event()      {}
+func (MachinesListed) event()      {}
+func (PollAnswered) event()        {}
+func (StartAnswered) event()       {}
+func (StopAnswered) event()        {}
+func (PaceAnswered) event()        {}
+func (Committed) event()           {}
+func (AdvisorAnswered) event()     {}
+func (AdvisorSlotsChanged) event() {}
+func (WaveRequested) event()       {}
+func (WaveWithdrawn) event()       {}
+func (MachineAnswered) event()     {}
+func (EndedJobsListed) event()     {}
+func (JobWatchProgressed) event()  {}
+func (Loaded) event()              {}
