--- a/internal/core/entry/adoption.go
+++ b/internal/core/entry/adoption.go
@@ -81,7 +81,7 @@
 	for _, kvl := range vls.Values {
 		segments = append(segments, kvl.Value)
 	}
-	recs, err := task.Fold(segments)
+	recs, err := task.Replay(segments)
 	if err != nil {
 		stp.record("task", "log_unreadable", owner, err.Error())
 		return
@@ -95,5 +95,5 @@
 // owner by now.
 func (stp *step) abandonAdoption() {
 	stp.st.logs.adopting = ""
-	stp.st.log = stp.st.log.WithoutFlight()
+	stp.st.log = stp.st.log.WithoutInFlight()
 }
--- a/internal/core/entry/asks.go
+++ b/internal/core/entry/asks.go
@@ -50,8 +50,8 @@
 	return ok && asker == team
 }
 
-func (stp *step) taskAsked(evt event.TaskAsked) {
-	if rec, ok := stp.st.log.Kept(evt.TaskID); ok {
+func (stp *step) taskAsked(evt event.TaskQueried) {
+	if rec, ok := stp.st.log.Stored(evt.TaskID); ok {
 		stp.tellTask(evt.Request, evt.KeyHash, rec.Status())
 		return
 	}
@@ -61,7 +61,7 @@
 	for _, per := range stp.st.view.Peers() {
 		if per.Connected {
 			ask.awaited++
-			stp.send(per.ID, message.TaskAsk{AskID: id, TaskID: evt.TaskID})
+			stp.send(per.ID, message.TaskQuery{RequestID: id, TaskID: evt.TaskID})
 		}
 	}
 	if ask.awaited == 0 {
@@ -76,29 +76,29 @@
 		stp.refuseNotRun(request, outcome.CodeUnknownTask, "No entry holds such a task.")
 		return
 	}
-	stp.emit(effect.TellTask{Request: request, Status: sts})
+	stp.emit(effect.ReplyTaskStatus{Request: request, Status: sts})
 }
 
-func (stp *step) taskAskHeard(from string, msg message.TaskAsk) {
-	rec, ok := stp.st.log.Kept(msg.TaskID)
-	stp.send(from, message.TaskTold{AskID: msg.AskID, Found: ok, Status: rec.Status()})
+func (stp *step) taskAskHeard(from string, msg message.TaskQuery) {
+	rec, ok := stp.st.log.Stored(msg.TaskID)
+	stp.send(from, message.TaskReply{RequestID: msg.RequestID, Found: ok, Status: rec.Status()})
 }
 
-func (stp *step) taskToldHeard(_ string, msg message.TaskTold) {
-	ask, ok := stp.st.asks.tasks.Get(msg.AskID)
+func (stp *step) taskToldHeard(_ string, msg message.TaskReply) {
+	ask, ok := stp.st.asks.tasks.Get(msg.RequestID)
 	if !ok {
 		return
 	}
 	ask.awaited--
 	switch {
 	case msg.Found:
-		stp.st.asks.tasks = stp.st.asks.tasks.Delete(msg.AskID)
+		stp.st.asks.tasks = stp.st.asks.tasks.Delete(msg.RequestID)
 		stp.tellTask(ask.request, ask.keyHash, msg.Status)
 	case ask.awaited == 0:
-		stp.st.asks.tasks = stp.st.asks.tasks.Delete(msg.AskID)
+		stp.st.asks.tasks = stp.st.asks.tasks.Delete(msg.RequestID)
 		stp.refuseNotRun(ask.request, outcome.CodeUnknownTask, "No entry holds such a task.")
 	default:
-		stp.st.asks.tasks = stp.st.asks.tasks.Set(msg.AskID, ask)
+		stp.st.asks.tasks = stp.st.asks.tasks.Set(msg.RequestID, ask)
 	}
 }
 
--- a/internal/core/entry/configuration.go
+++ b/internal/core/entry/configuration.go
@@ -83,7 +83,7 @@
 		stp.st.recent = nil
 	}
 	stp.st.ledger = stp.st.ledger.WithVoters(cfg)
-	stp.emit(effect.Adopt{Config: cfg})
+	stp.emit(effect.PublishConfig{Config: cfg})
 	stp.record("config", "config_applied", fmt.Sprintf("revision %d", cfg.Revision), "")
 	stp.recordAZs(old, cfg)
 	if !slices.Equal(old.Voters, cfg.Voters) {
@@ -109,12 +109,12 @@
 
 func (stp *step) recordAZs(old, cfg *table.Config) {
 	for _, az := range cfg.Tables.AZsOut {
-		if !old.IsOut(az) {
+		if !old.IsAZOut(az) {
 			stp.record("az", "az_out", az, "")
 		}
 	}
 	for _, az := range old.Tables.AZsOut {
-		if !cfg.IsOut(az) {
+		if !cfg.IsAZOut(az) {
 			stp.record("az", "az_in", az, "")
 		}
 	}
--- a/internal/core/entry/demand.go
+++ b/internal/core/entry/demand.go
@@ -92,7 +92,7 @@
 	}
 	left := map[string]int{}
 	var lanes []message.LaneDemand
-	for _, cnt := range own.queue.Counts() {
+	for _, cnt := range own.queue.Backlog() {
 		team := cnt.Lane.Team
 		if _, seen := left[team]; !seen {
 			left[team] = stp.st.Rights(team) - stp.st.Running(team)
@@ -210,12 +210,12 @@
 	}
 }
 
-func (stp *step) ruleOf(pool string) (rul dispatch.Rule, ok bool) {
+func (stp *step) ruleOf(pool string) (rul dispatch.Input, ok bool) {
 	poo, ok := stp.st.config.Pool(pool)
 	if !ok {
-		return dispatch.Rule{}, false
+		return dispatch.Input{}, false
 	}
-	return dispatch.Rule{
+	return dispatch.Input{
 		Pool:   poo,
 		Usable: stp.st.fleet.Usable(stp.st.config, pool),
 		Config: stp.st.config,
@@ -249,7 +249,7 @@
 // reports the work that it has yet to finish.
 func (stp *step) isReporting(id string) bool {
 	per, ok := stp.st.view.Peer(id)
-	return ok && stp.now.Sub(per.HeardAt) <= member.SilentAfter
+	return ok && stp.now.Sub(per.LastSeenAt) <= member.LivenessTimeout
 }
 
 // redirectReports looks at who is live. When that changed, it finds the leader
--- a/internal/core/entry/driver_test.go
+++ b/internal/core/entry/driver_test.go
@@ -128,7 +128,7 @@
 	return &driver{
 		now: time.Unix(1_800_000_000, 0), rnd: rand.New(rand.NewPCG(seed, 1)),
 		kv:   fakeStore{items: map[string]store.KeyValue{}, leases: map[int64]time.Time{}, owners: map[string]int64{}},
-		tick: event.TickEvery,
+		tick: event.TickInterval,
 		runs: map[string]int{}, running: map[string]int{}, peak: map[string]int{},
 		workers: map[string]*fakeWorker{}, taskRuns: map[string][]string{}, told: map[string]told{},
 		span: func(string) time.Duration { return 20 * time.Millisecond },
@@ -259,13 +259,13 @@
 		drv.callStore(nod, eff)
 	case effect.StartAttempt:
 		drv.startAttempt(nod, eff)
-	case effect.RelayAnswer:
+	case effect.RelayResponse:
 		drv.tell(nod, eff.Request, told{outcome: outcome.Answered})
 	case effect.Refuse:
 		drv.tell(nod, eff.Request, told{outcome: eff.Refusal.Outcome, code: eff.Refusal.Code})
 	case effect.AcceptTask:
 		drv.tell(nod, eff.Request, told{outcome: outcome.Accepted, code: outcome.Code(eff.TaskID)})
-	case effect.AnswerOperator:
+	case effect.ReplyChange:
 		out := outcome.NotRun
 		if eff.Accepted {
 			out = outcome.Accepted
@@ -275,7 +275,7 @@
 		if drv.trace != nil {
 			fmt.Fprintln(drv.trace, drv.now.Format("05.000"), nod.id, eff.Part, eff.Name, eff.Subject, eff.Detail)
 		}
-	case effect.TellTask:
+	case effect.ReplyTaskStatus:
 		drv.tell(nod, eff.Request, told{outcome: outcome.Answered, state: eff.Status.State})
 	case effect.StartTask:
 		drv.startTask(nod, eff)
@@ -320,7 +320,7 @@
 		}
 		drv.after(at.Sub(drv.now), func() {
 			if !from.cut[to] {
-				drv.feed(target, event.PeerSaid{Member: from.id, Message: msg})
+				drv.feed(target, event.MessageReceived{Member: from.id, Message: msg})
 			}
 		})
 	}
@@ -374,7 +374,7 @@
 func (drv *driver) operate(nod *node, name string, chg table.Change) {
 	nod.next++
 	nod.requests[nod.next] = name
-	drv.feed(nod, event.OperatorAsked{Request: nod.next, Change: chg})
+	drv.feed(nod, event.ChangeRequested{Request: nod.next, Change: chg})
 }
 
 // fakeStore is a key-value store with leases on the virtual clock.
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -22,9 +22,9 @@
 // While work waits or an edit is under way it is event.TickEvery.
 func (sta State) TickWithin() time.Duration {
 	if sta.busy.Len() > 0 || sta.dirty.Len() > 0 || sta.delayed.Len() > 0 || len(sta.edits.pending) > 0 || sta.log.PendingCount() > 0 {
-		return event.TickEvery
+		return event.TickInterval
 	}
-	return event.IdleTickEvery
+	return event.IdleTickInterval
 }
 
 // step is one run of the reducer: the state being built and the effects so
@@ -47,7 +47,7 @@
 		stp.peerUp(evt)
 	case event.PeerDown:
 		stp.peerDown(evt)
-	case event.PeerSaid:
+	case event.MessageReceived:
 		stp.peerSaid(evt.Member, evt.Message)
 	case event.StoreAnswered:
 		stp.storeAnswered(evt)
@@ -55,13 +55,13 @@
 		stp.readHead()
 	case event.FleetListed:
 		stp.fleetListed(evt)
-	case event.OperatorAsked:
+	case event.ChangeRequested:
 		stp.operatorAsked(evt)
 	case event.MembersGone:
 		stp.membersGone(evt.IDs, "an operator vouches for it")
-	case event.StatusAsked:
-		stp.emit(effect.AnswerStatus{Request: evt.Request, Status: stp.status()})
-	case event.ShutdownAsked:
+	case event.StatusRequested:
+		stp.emit(effect.ReplyStatus{Request: evt.Request, Status: stp.status()})
+	case event.ShutdownRequested:
 		stp.beginShutdown()
 	case event.AcceptingStopped:
 		stp.st.draining.stopped = true
@@ -81,7 +81,7 @@
 		stp.attemptEnded(evt)
 	case event.TaskSubmitted:
 		stp.taskSubmitted(evt)
-	case event.TaskAsked:
+	case event.TaskQueried:
 		stp.taskAsked(evt)
 	case event.TaskCancelled:
 		stp.taskCancelled(evt)
@@ -164,7 +164,7 @@
 		stp.heartbeatHeard(from, msg)
 	case message.Edits:
 		stp.editsHeard(from, msg)
-	case message.SnapshotAsk:
+	case message.SnapshotRequest:
 		stp.offerEdits(from, msg.Have)
 	case message.Snapshot:
 		stp.snapshotHeard(msg)
@@ -174,7 +174,7 @@
 		stp.grantsHeard(from, msg)
 	case message.Recall:
 		stp.recallHeard(msg)
-	case message.PermitAsk:
+	case message.PermitRequest:
 		stp.permitsAsked(from, msg)
 	case message.PermitTransfer:
 		stp.permitsHeard(from, msg)
@@ -182,17 +182,17 @@
 		stp.freezeHeard(from, msg)
 	case message.Frozen:
 		stp.frozenHeard(from, msg)
-	case message.TaskAsk:
+	case message.TaskQuery:
 		stp.taskAskHeard(from, msg)
-	case message.TaskTold:
+	case message.TaskReply:
 		stp.taskToldHeard(from, msg)
-	case message.Reserve:
+	case message.ReserveKey:
 		stp.reserveHeard(from, msg)
-	case message.Reserved:
+	case message.ReserveKeyReply:
 		stp.reservedHeard(from, msg)
-	case message.Keep:
+	case message.KeyHandover:
 		stp.keepHeard(msg)
-	case message.Release:
+	case message.ReleaseKey:
 		stp.releaseHeard(from, msg)
 	}
 }
--- a/internal/core/entry/tasks.go
+++ b/internal/core/entry/tasks.go
@@ -269,14 +269,14 @@
 }
 
 func (stp *step) taskCancelled(evt event.TaskCancelled) {
-	rec, ok := stp.st.log.Kept(evt.TaskID)
+	rec, ok := stp.st.log.Stored(evt.TaskID)
 	id, active := stp.st.tasks.Get(evt.TaskID)
 	if !ok || !stp.mayAsk(rec.Team, rec.Queue, evt.KeyHash) {
 		stp.refuseNotRun(evt.Request, outcome.CodeUnknownTask, "This entry holds no such task.")
 		return
 	}
 	if !active {
-		stp.emit(effect.TellTask{Request: evt.Request, Status: rec.Status()})
+		stp.emit(effect.ReplyTaskStatus{Request: evt.Request, Status: rec.Status()})
 		return
 	}
 	wrk, _ := stp.st.works.Get(id)
@@ -286,7 +286,7 @@
 	}
 	stp.endTask(wrk, task.StateCancelled, nil, "Cancelled by its submitter.")
 	rec, _ = stp.st.log.Latest(evt.TaskID)
-	stp.emit(effect.TellTask{Request: evt.Request, Status: rec.Status()})
+	stp.emit(effect.ReplyTaskStatus{Request: evt.Request, Status: rec.Status()})
 }
 
 func (stp *step) stopTask(wrk work.Work) {
