--- a/internal/core/scheduler/account_test.go
+++ b/internal/core/scheduler/account_test.go
@@ -32,9 +32,9 @@
 	emu.run(60 * time.Second)
 	late := map[string]int{}
 	// The objective is 1.6 times the critical path of two tasks, plus 0.6 s.
-	aim := time.Duration(1.6*float64(time.Second)) + 600*time.Millisecond
+	objective := time.Duration(1.6*float64(time.Second)) + 600*time.Millisecond
 	for id, spe := range emu.specs {
-		if end, ok := emu.finished[id]; !ok || end.Sub(spe.Accepted) > aim {
+		if end, ok := emu.finished[id]; !ok || end.Sub(spe.Accepted) > objective {
 			late[spe.Account]++
 		}
 	}
--- a/internal/core/scheduler/advice_test.go
+++ b/internal/core/scheduler/advice_test.go
@@ -17,10 +17,10 @@
 // query at a time per slot, as the platform's advisor does per calling
 // machine.
 type emulatedAdvisor struct {
-	advice  catalog.Advice
-	slots   int
-	busy    int
-	tickets map[string]time.Time
+	advice   catalog.Advice
+	slots    int
+	inFlight int
+	tickets  map[string]time.Time
 	// rejected counts starts without a valid ticket; queries counts the queries.
 	rejected, queries int
 }
@@ -33,16 +33,16 @@
 func (emu *emulator) performQueryAdvisor(eff QueryAdvisor) {
 	adv := emu.advisor
 	adv.queries++
-	adv.busy++
-	if adv.busy > adv.slots {
-		emu.fail("%d concurrent queries with %d slots", adv.busy, adv.slots)
+	adv.inFlight++
+	if adv.inFlight > adv.slots {
+		emu.fail("%d concurrent queries with %d slots", adv.inFlight, adv.slots)
 	}
 	sent, term := emu.now, emu.term
 	emu.after(adv.advice.Decision+time.Duration(len(eff.VMs))*adv.advice.PerVM, func() {
 		if term != emu.term {
 			return
 		}
-		adv.busy--
+		adv.inFlight--
 		evt := AdvisorAnswered{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, Sent: sent, VMs: eff.VMs, Tickets: map[string]string{}, Valid: adv.advice.Valid}
 		hash := fnv.New32()
 		fmt.Fprintf(hash, "%s.%d", eff.Job, eff.Step)
@@ -84,9 +84,9 @@
 	for id, spe := range emu.specs {
 		// The objective is 1.6 times the critical path, with one query per step,
 		// plus 0.6 s.
-		aim := time.Duration(1.6*float64(2*(500+360)*time.Millisecond)) + 600*time.Millisecond
+		objective := time.Duration(1.6*float64(2*(500+360)*time.Millisecond)) + 600*time.Millisecond
 		end, ok := emu.finished[id]
-		if !ok || end.Sub(spe.Accepted) > aim {
+		if !ok || end.Sub(spe.Accepted) > objective {
 			late++
 		}
 	}
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -31,12 +31,12 @@
 	names   []string
 	store   *emulatedStore
 
-	sched   *State
-	opt     Options
-	inbox   []Event
-	term    int64
-	down    bool
-	waiting bool
+	sched          *State
+	opt            Options
+	inbox          []Event
+	term           int64
+	dispatcherDown bool
+	wakePending    bool
 
 	// Fault probabilities.
 	loseAnswer, loseOrder, lateOrder float64
@@ -135,6 +135,7 @@
 	return slices.SortedFunc(maps.Keys(vm.runs), func(one, oth job.Task) int { return strings.Compare(one.String(), oth.String()) })
 }
 
+// emulatedRun is a run that is active on a VM.
 type emulatedRun struct {
 	run     int
 	since   time.Time
@@ -143,6 +144,7 @@
 	ended   bool
 }
 
+// emulatedStore holds the stored items by key.
 type emulatedStore struct {
 	rev   kv.Revision
 	items map[string]kv.Item
@@ -153,6 +155,7 @@
 	emulatedTTL     = 1500 * time.Millisecond
 )
 
+// newEmulator returns an emulator without VMs and without a dispatcher.
 func newEmulator(seed uint64, cat catalog.Catalog) *emulator {
 	start := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	return &emulator{
@@ -230,6 +233,7 @@
 	emu.after(downtime, func() { emu.boot(vm) })
 }
 
+// recordEnd counts a run as no longer active, once.
 func (emu *emulator) recordEnd(name job.Task, run *emulatedRun) {
 	if !run.ended {
 		run.ended = true
@@ -237,6 +241,7 @@
 	}
 }
 
+// truthOf returns the actual state of a task, and creates it if necessary.
 func (emu *emulator) truthOf(name job.Task) *taskTruth {
 	tru := emu.truth[name]
 	if tru == nil {
@@ -253,28 +258,30 @@
 
 // deliver queues an event for the dispatcher, if there is one.
 func (emu *emulator) deliver(evt Event) {
-	if emu.sched == nil || emu.down {
+	if emu.sched == nil || emu.dispatcherDown {
 		return
 	}
 	emu.inbox = append(emu.inbox, evt)
 	emu.wake(3 * time.Millisecond)
 }
 
+// wake schedules a call of Reduce unless one is scheduled.
 func (emu *emulator) wake(span time.Duration) {
-	if emu.waiting {
+	if emu.wakePending {
 		return
 	}
-	emu.waiting = true
+	emu.wakePending = true
 	term := emu.term
 	emu.after(span, func() {
-		emu.waiting = false
-		if term != emu.term || emu.down {
+		emu.wakePending = false
+		if term != emu.term || emu.dispatcherDown {
 			return
 		}
 		emu.reduce()
 	})
 }
 
+// reduce passes the queued events to the dispatcher and performs the effects.
 func (emu *emulator) reduce() {
 	events := emu.inbox
 	emu.inbox = nil
@@ -294,11 +301,11 @@
 	emu.store.rev++
 	opt.Since, opt.Revision, opt.Term = emu.now, emu.store.rev, emu.term
 	emu.opt = opt
-	emu.sched, emu.inbox, emu.down, emu.waiting = New(opt), nil, false, false
+	emu.sched, emu.inbox, emu.dispatcherDown, emu.wakePending = New(opt), nil, false, false
 	emu.connected = map[string]bool{}
 	emu.deliver(CatalogChanged{Catalog: emu.catalog})
 	if emu.advisor != nil {
-		emu.advisor.busy = 0
+		emu.advisor.inFlight = 0
 		emu.deliver(AdvisorSlotsChanged{Count: emu.advisor.slots})
 	}
 	for _, name := range emu.names {
@@ -352,10 +359,10 @@
 // killDispatcher ends the dispatcher. Another one takes over when its lease
 // has expired.
 func (emu *emulator) killDispatcher() {
-	if emu.down || emu.sched == nil {
+	if emu.dispatcherDown || emu.sched == nil {
 		return
 	}
-	emu.down = true
+	emu.dispatcherDown = true
 	opt := emu.opt
 	emu.after(emulatedTTL, func() { emu.takeOver(opt) })
 }
@@ -383,6 +390,7 @@
 	}
 }
 
+// perform performs an effect. Its answer is delivered later.
 func (emu *emulator) perform(eff Effect) {
 	switch eff := eff.(type) {
 	case Poll:
@@ -410,7 +418,7 @@
 	case SaveWave:
 		term := emu.term
 		emu.after(emulatedLatency, func() {
-			if term == emu.term && !emu.down {
+			if term == emu.term && !emu.dispatcherDown {
 				emu.begun = eff.Begun
 			}
 		})
@@ -423,6 +431,7 @@
 	}
 }
 
+// machines returns the list of machines.
 func (emu *emulator) machines() (all []worker.Machine) {
 	for _, name := range emu.names {
 		vm := emu.vms[name]
@@ -587,6 +596,7 @@
 	})
 }
 
+// startOn starts a run on a VM, which checks the order as an executor does.
 func (emu *emulator) startOn(vm *emulatedVM, ord Start, term int64) worker.Result {
 	if term < vm.fence {
 		return worker.ResultFenced
@@ -744,6 +754,7 @@
 	}
 }
 
+// endRun ends a run on a VM and answers a waiting poll.
 func (emu *emulator) endRun(vm *emulatedVM, name job.Task, run *emulatedRun, kind worker.EndKind) {
 	emu.recordEnd(name, run)
 	delete(vm.runs, name)
@@ -764,6 +775,7 @@
 	}
 }
 
+// stopOn stops a run on a VM, or makes the VM reject its start.
 func (emu *emulator) stopOn(vm *emulatedVM, ord Stop, term int64) worker.Result {
 	if term < vm.fence {
 		return worker.ResultFenced
@@ -781,6 +793,7 @@
 	return worker.ResultOK
 }
 
+// performPoll polls a VM. The poll fails after its waiting time and a second.
 func (emu *emulator) performPoll(eff Poll) {
 	sent, term := emu.now, emu.term
 	answered := false
@@ -829,6 +842,8 @@
 	})
 }
 
+// acknowledge removes the acknowledged ends of a VM, and checks that the store
+// holds them.
 func (emu *emulator) acknowledge(vm *emulatedVM, upTo int64) {
 	kept := vm.ends[:0]
 	for _, end := range vm.ends {
@@ -851,6 +866,7 @@
 	vm.ends = kept
 }
 
+// reportOf returns a VM's report of its runs and ends.
 func (emu *emulator) reportOf(vm *emulatedVM) worker.Report {
 	rep := worker.Report{Clock: emu.clock(vm), Born: vm.vm.Born, Ends: append([]worker.End(nil), vm.ends...)}
 	for _, name := range vm.sorted() {
@@ -860,6 +876,8 @@
 	return rep
 }
 
+// performCommit writes to the store. The answer may be lost, and the write may
+// be applied late.
 func (emu *emulator) performCommit(eff Commit) {
 	term := emu.term
 	chance := emu.rng.Float64()
@@ -891,6 +909,7 @@
 	}
 }
 
+// commit applies a transaction if its conditions hold.
 func (emu *emulator) commit(txn kv.Txn) (rev kv.Revision, err error) {
 	con := &kv.ConflictError{}
 	failed := false
@@ -946,12 +965,14 @@
 	}
 }
 
+// put stores an item at a new revision.
 func (sto *emulatedStore) put(key string, value []byte) kv.Revision {
 	sto.rev++
 	sto.items[key] = kv.Item{Key: key, Value: value, Revision: sto.rev}
 	return sto.rev
 }
 
+// sorted returns the items under a prefix in the order of their keys.
 func (sto *emulatedStore) sorted(prefix string) (items []kv.Item) {
 	for key, itm := range sto.items {
 		if len(key) >= len(prefix) && key[:len(prefix)] == prefix {
--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -179,6 +179,7 @@
 	}
 }
 
+// sendPoll polls a VM and acknowledges its ends.
 func (sta *State) sendPoll(hos *host) {
 	pol := Poll{VM: hos.vm, Acked: hos.acked}
 	// A silent VM may still receive polls. If they extended its lease, its tasks
@@ -247,8 +248,8 @@
 		hos.acknowledgeBefore(evt.Report.Ends[0].Number)
 	}
 	for _, end := range evt.Report.Ends {
-		if end.Number > hos.seen {
-			hos.seen = end.Number
+		if end.Number > hos.lastEnd {
+			hos.lastEnd = end.Number
 			sta.runEnded(hos, end)
 		}
 	}
--- a/internal/core/scheduler/recent.go
+++ b/internal/core/scheduler/recent.go
@@ -12,10 +12,12 @@
 	rotatedAt         time.Time
 }
 
+// newRecentMap returns an empty map.
 func newRecentMap[K comparable, V any]() *recentMap[K, V] {
 	return &recentMap[K, V]{current: map[K]V{}}
 }
 
+// put sets an entry and drops old ones.
 func (rec *recentMap[K, V]) put(now time.Time, key K, val V) {
 	if now.Sub(rec.rotatedAt) > minRetention {
 		rec.previous, rec.current, rec.rotatedAt = rec.current, map[K]V{}, now
@@ -23,6 +25,7 @@
 	rec.current[key] = val
 }
 
+// get returns an entry that has not been dropped.
 func (rec *recentMap[K, V]) get(key K) (val V, ok bool) {
 	if val, ok = rec.current[key]; ok {
 		return val, true
@@ -31,6 +34,7 @@
 	return val, ok
 }
 
+// remove removes an entry before its time.
 func (rec *recentMap[K, V]) remove(key K) {
 	delete(rec.current, key)
 	delete(rec.previous, key)
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -34,6 +34,7 @@
 	return sta.effects
 }
 
+// handle applies an event.
 func (sta *State) handle(evt Event) {
 	switch evt := evt.(type) {
 	case Tick:
@@ -64,13 +65,13 @@
 	case MachineAnswered:
 		sta.machineAnswered(evt)
 	default:
-		sta.handleAdvice(evt)
+		sta.handleAdvisorAndStore(evt)
 	}
 }
 
-// handleAdvice applies events of the advisor and of the store, and passes
-// others on.
-func (sta *State) handleAdvice(evt Event) {
+// handleAdvisorAndStore applies events of the advisor and of the store, and
+// passes others on.
+func (sta *State) handleAdvisorAndStore(evt Event) {
 	switch evt := evt.(type) {
 	case AdvisorAnswered:
 		sta.advisorAnswered(evt)
--- a/internal/core/scheduler/save.go
+++ b/internal/core/scheduler/save.go
@@ -22,7 +22,7 @@
 // Reduce adds: the condition that this process still holds the duty.
 const reservedEntries = 1
 
-// Maximum number of transaction entries per job.
+// Transaction entries of a job's record, including conditions.
 const (
 	progressEntries = 2
 	finalEntries    = 6
--- a/internal/core/scheduler/schedule_test.go
+++ b/internal/core/scheduler/schedule_test.go
@@ -61,14 +61,14 @@
 	emu.duration = func(_ job.Task, ste job.Step) time.Duration {
 		return time.Duration(float64(ste.Estimate) * (0.5 + emu.rng.Float64()))
 	}
-	poisoned := map[job.ID]bool{}
-	emu.failing = func(tas job.Task) bool { return poisoned[tas.Job] || emu.rng.Float64() < 0.02 }
+	failingJobs := map[job.ID]bool{}
+	emu.failing = func(tas job.Task) bool { return failingJobs[tas.Job] || emu.rng.Float64() < 0.02 }
 	emu.takeOver(testOptions())
 	for i := range 120 {
 		account := []string{"small", "large"}[i%2]
 		at := time.Duration(emu.rng.Int64N(int64(28 * time.Second)))
 		spe := fanOut(i+1, account, 1+emu.rng.IntN(6), 500+emu.rng.Int64N(2000), 200*time.Millisecond+time.Duration(emu.rng.Int64N(int64(time.Second))))
-		poisoned[spe.ID] = i%29 == 7
+		failingJobs[spe.ID] = i%29 == 7
 		emu.vary(&spe, i)
 		emu.after(at, func() { emu.submit(spe) })
 	}
@@ -224,7 +224,7 @@
 	emu.run(time.Second)
 	gone := emu.vms["lots-0"].vm
 	emu.shutDown(emu.vms["lots-0"], 1500*time.Millisecond)
-	emu.down = true
+	emu.dispatcherDown = true
 	emu.submit(fanOut(1, "large", 2, 500, 200*time.Millisecond))
 	emu.run(2 * time.Second)
 	emu.takeOver(testOptions())
--- a/internal/core/scheduler/state.go
+++ b/internal/core/scheduler/state.go
@@ -207,11 +207,11 @@
 	nextPoll     time.Time
 	// failedPolls counts the consecutive polls without an answer.
 	failedPolls int
-	// seen is the highest end number that was processed. acked is the number up
-	// to which all ends may be acknowledged. stored holds the higher ends that
-	// may be acknowledged too.
-	seen, acked int64
-	stored      map[int64]bool
+	// lastEnd is the highest end number that was processed. acked is the number
+	// up to which all ends may be acknowledged. stored holds the higher ends
+	// that may be acknowledged too.
+	lastEnd, acked int64
+	stored         map[int64]bool
 	// ackDue reports whether acked has risen since the last poll.
 	ackDue bool
 	// reportDue reports whether the VM's runs differ from the recorded ones: it
