--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -115,7 +115,7 @@
 	stage       *stage
 	vms         []string
 	// prefetch reports whether no task of the stage could start yet, for lack of
-	// room or because of unfinished dependencies.
+	// capacity or because of unfinished dependencies.
 	prefetch bool
 }
 
--- a/internal/core/scheduler/advice_test.go
+++ b/internal/core/scheduler/advice_test.go
@@ -96,7 +96,7 @@
 }
 
 // TestAdviceRenewedAfterExpiry checks that the dispatcher queries again when
-// tickets expire while tasks still wait for room.
+// tickets expire while tasks still wait for capacity.
 func TestAdviceRenewedAfterExpiry(t *testing.T) {
 	emu := advisedScenario(9)
 	emu.advisor.advice.Valid = 700 * time.Millisecond
--- a/internal/core/scheduler/assign.go
+++ b/internal/core/scheduler/assign.go
@@ -8,7 +8,7 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/priority"
 )
 
-// waitingStage is a stage with tasks that wait for room.
+// waitingStage is a stage with tasks that wait for free capacity.
 type waitingStage struct {
 	stage       *stage
 	priorityKey priority.Key
@@ -19,7 +19,7 @@
 // detected and replaced in less time.
 const maxJobStaleness = 1500 * time.Millisecond
 
-// assign starts waiting tasks where there is room, in order of priority.
+// assign starts waiting tasks in order of priority where there is free capacity.
 func (sta *State) assign() {
 	if sta.now.Sub(sta.jobsSyncedAt) > maxJobStaleness {
 		return
--- a/internal/core/scheduler/gang_test.go
+++ b/internal/core/scheduler/gang_test.go
@@ -64,7 +64,7 @@
 	emu.addVMs("lots", 2, 2, job.Size{CPU: 16_000, Memory: 32_768})
 	emu.takeOver(testOptions())
 	emu.run(50 * time.Millisecond)
-	// A run that the dispatcher does not know occupies the room of one VM.
+	// A run that the dispatcher does not know takes up the capacity of one VM.
 	emu.vms["lots-0"].runs[job.Task{Job: "other"}] = &emulatedRun{run: 1, since: emu.now, size: job.Size{CPU: 12_000}}
 	emu.specs["other"] = job.Spec{}
 	spe := gangJob(1, 2, 9000)
--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -119,8 +119,8 @@
 	}
 }
 
-// reserve records a run that may be active on a VM, and the room that it
-// occupies.
+// reserve records a run that may be active on a VM, and the capacity that
+// it takes up.
 func (sta *State) reserve(hos *host, stg *stage, name job.Task, run int, state runState) *placement {
 	pla := &placement{task: name, run: run, state: state, since: sta.now, stage: stg, pace: pace.Full}
 	if stg != nil {
@@ -150,7 +150,7 @@
 }
 
 // extendLease returns the end of a lease that begins now, on the VM's clock,
-// and records how long the runs there may go on.
+// and records when it is guaranteed to have expired.
 func (sta *State) extendLease(hos *host) time.Duration {
 	if end := sta.now.Add(sta.maxLeaseTime()); end.After(hos.leaseExpiry) {
 		hos.leaseExpiry = end
--- a/internal/core/scheduler/orders.go
+++ b/internal/core/scheduler/orders.go
@@ -10,14 +10,14 @@
 const (
 	// startRetryDelay is how long a task waits after its start was refused.
 	startRetryDelay = 150 * time.Millisecond
-	// stopRetryInterval is the time between two stops of a run that goes on.
+	// stopRetryInterval is the time between two stops of a run that is not over.
 	stopRetryInterval = 500 * time.Millisecond
 	// unhealthyPause is how long no tasks start on a VM that refused one as
 	// unhealthy.
 	unhealthyPause = time.Second
 )
 
-// stop marks a run to be stopped. The run occupies its room until the VM
+// stop marks a run to be stopped. The run takes up capacity until the VM
 // reports its end or has rejected it.
 func (sta *State) stop(pla *placement) {
 	if pla == nil || pla.state == runStopping || pla.state == runRejected {
--- a/internal/core/scheduler/save.go
+++ b/internal/core/scheduler/save.go
@@ -11,8 +11,8 @@
 
 // Delays of writes to the store.
 const (
-	// saveDelay is how long the progress of a job that goes on is collected
-	// before it is written.
+	// saveDelay is how long the progress of a running job is collected before
+	// it is written.
 	saveDelay = 90 * time.Millisecond
 	// saveRetryDelay is the time between two attempts of a write that failed.
 	saveRetryDelay = 60 * time.Millisecond
--- a/internal/core/scheduler/state.go
+++ b/internal/core/scheduler/state.go
@@ -116,7 +116,7 @@
 	begun bool
 	// excess reports whether the job exceeds its account's allowance.
 	excess bool
-	// final is the state in which the job ended; empty while it goes on.
+	// final is the state in which the job ended; empty before.
 	final job.State
 	// dirtySince is the time of the first change that is not stored; zero if
 	// everything is.
@@ -154,12 +154,12 @@
 	runRejected
 )
 
-// placement is a run that may be active on a VM. It occupies room there until
-// the run is known to be over.
+// placement is a run that may be active on a VM. It takes up capacity there
+// until it is known to be over.
 type placement struct {
 	task job.Task
 	run  int
-	// reserved is the room that the run occupies on the VM. size counts against
+	// reserved is the capacity that it takes up on the VM. size counts against
 	// the cap of its account.
 	reserved job.Size
 	size     job.Size
@@ -244,8 +244,8 @@
 	return hos.fenced && !hos.unregistered && !hos.vm.Leaving && !hos.cordoned && !hos.goingDown && hos.failedPolls == 0 && !now.Before(hos.quarantinedUntil) && !hos.hasOrphanRuns()
 }
 
-// hasOrphanRuns reports whether the VM holds runs of unknown jobs. The room
-// that they occupy is unknown too.
+// hasOrphanRuns reports whether the VM holds runs of unknown jobs. The
+// capacity that they take up is unknown too.
 func (hos *host) hasOrphanRuns() bool {
 	return slices.ContainsFunc(hos.runList, func(pla *placement) bool { return pla.stage == nil })
 }
@@ -265,8 +265,8 @@
 	hostList []*host
 	// pools holds the hosts of each pool in the order of their IDs.
 	pools map[string][]*host
-	// usage is the size of the active runs by client account. allowances holds
-	// the accounts' token buckets for new jobs.
+	// usage is, by client account, the size of the runs that may be active.
+	// allowances holds the accounts' token buckets for new jobs.
 	usage      map[string]job.Size
 	allowances map[string]allowance.Bucket
 	machines   machines
