--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -89,10 +89,10 @@
 	// Fills is set for best-effort tasks. They use the CPU that other tasks leave
 	// idle, and their own CPU does not count against a VM's capacity.
 	Fills bool `msgpack:"fi,omitempty"`
-	// MayMiss is the availability budget of a long-running step: the maximum
-	// number of tasks that the system may make unavailable at the same time; 0
-	// means no limit.
-	MayMiss int `msgpack:"mm,omitempty"`
+	// MaxUnavailable is the availability budget of a long-running step: the
+	// maximum number of tasks that the system may make unavailable at the same
+	// time; 0 means no limit.
+	MaxUnavailable int `msgpack:"mm,omitempty"`
 }
 
 // Reservation returns the part of a VM's capacity that a task reserves.
--- a/internal/core/scheduler/schedule_test.go
+++ b/internal/core/scheduler/schedule_test.go
@@ -74,7 +74,7 @@
 	}
 	for i := range 2 {
 		spe := job.Spec{ID: jobName(1000 + i), Queue: "settle", Account: "large", Payload: "x", Steps: []job.Step{{
-			Count: 4, Size: job.Size{CPU: 1500, Memory: 4096}, LongRunning: true, MayMiss: 1,
+			Count: 4, Size: job.Size{CPU: 1500, Memory: 4096}, LongRunning: true, MaxUnavailable: 1,
 		}}}
 		emu.after(100*time.Millisecond, func() { emu.submit(spe) })
 		emu.after(60*time.Second, func() { emu.cancel(spe.ID) })
@@ -192,7 +192,7 @@
 	emu.takeOver(testOptions())
 	emu.after(100*time.Millisecond, func() {
 		emu.submit(job.Spec{ID: jobName(1), Queue: "settle", Account: "large", Payload: "x", Steps: []job.Step{{
-			Count: 4, Size: job.Size{CPU: 1500, Memory: 4096}, LongRunning: true, MayMiss: 1,
+			Count: 4, Size: job.Size{CPU: 1500, Memory: 4096}, LongRunning: true, MaxUnavailable: 1,
 		}}})
 	})
 	fewest := 4
--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -181,7 +181,7 @@
 	}
 	for _, stg := range longRunning {
 		sha := shares[stg]
-		sha.MayMiss = stg.step.MayMiss
+		sha.MaxUnavailable = stg.step.MaxUnavailable
 		sha.Unavailable = stg.countUnavailable(hos)
 		can.StepShares = append(can.StepShares, sha)
 	}
@@ -198,7 +198,7 @@
 		if stg == nil || !stg.step.LongRunning || done[stg] || !pla.working() {
 			continue
 		}
-		sha := upkeep.StepShare{Local: hos.working(stg), Unavailable: stg.countUnavailable(hos), MayMiss: stg.step.MayMiss}
+		sha := upkeep.StepShare{Local: hos.working(stg), Unavailable: stg.countUnavailable(hos), MaxUnavailable: stg.step.MaxUnavailable}
 		if !sha.NeedsRelocation() {
 			continue
 		}
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -5,7 +5,7 @@
 // is a batch of machines whose upkeep is to be done within a time. The plan
 // limits the number of machines that are down at the same time, and keeps each
 // long-running step within its availability budget: the number of its tasks that
-// may be unavailable at the same time (MayMiss).
+// may be unavailable at the same time (MaxUnavailable).
 package upkeep
 
 import (
@@ -63,22 +63,22 @@
 type StepShare struct {
 	// Local is the number of tasks of the step that are working on the machine.
 	// Unavailable is the number of its tasks that are not working, on this machine
-	// or elsewhere. MayMiss is the availability budget: the maximum number of tasks
-	// that may be unavailable; 0 means no limit.
-	Local, Unavailable, MayMiss int
+	// or elsewhere. MaxUnavailable is the availability budget: the maximum number
+	// of tasks that may be unavailable; 0 means no limit.
+	Local, Unavailable, MaxUnavailable int
 }
 
 // ExceedsBudget reports whether ending the tasks on the machine would exceed the
 // step's availability budget.
 func (sha StepShare) ExceedsBudget() bool {
-	return sha.MayMiss > 0 && sha.Local > 0 && sha.Unavailable+sha.Local > sha.MayMiss
+	return sha.MaxUnavailable > 0 && sha.Local > 0 && sha.Unavailable+sha.Local > sha.MaxUnavailable
 }
 
 // NeedsRelocation reports whether one of the tasks on the machine should move to
 // another machine first, because the machine runs more of them than the
 // availability budget allows to end together.
 func (sha StepShare) NeedsRelocation() bool {
-	return sha.MayMiss > 0 && sha.Local > sha.MayMiss && sha.Unavailable < sha.MayMiss
+	return sha.MaxUnavailable > 0 && sha.Local > sha.MaxUnavailable && sha.Unavailable < sha.MaxUnavailable
 }
 
 // Candidate is a machine whose upkeep has yet to begin.
--- a/internal/core/upkeep/wave_test.go
+++ b/internal/core/upkeep/wave_test.go
@@ -39,11 +39,11 @@
 // availability budget is one: one task is relocated and available again before
 // upkeep begins.
 func TestRelocateBeforeUpkeep(t *testing.T) {
-	two := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 2, Unavailable: 0, MayMiss: 1}}}}
+	two := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 2, Unavailable: 0, MaxUnavailable: 1}}}}
 	assert.DeepEqual(t, plan(1).Next(requested, two, 0, 2*time.Second), Actions{Cordon: []string{"a"}, Relocate: []string{"a"}})
-	unavailable := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 1, MayMiss: 1}}}}
+	unavailable := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 1, MaxUnavailable: 1}}}}
 	assert.DeepEqual(t, plan(1).Next(requested, unavailable, 0, 2*time.Second), Actions{Cordon: []string{"a"}})
-	available := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 0, MayMiss: 1}}}}
+	available := []Candidate{{Machine: "a", Up: true, StepShares: []StepShare{{Local: 1, Unavailable: 0, MaxUnavailable: 1}}}}
 	assert.DeepEqual(t, plan(1).Next(requested, available, 0, 2*time.Second), Actions{Cordon: []string{"a"}, Begin: []string{"a"}})
 }
 
