--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -86,9 +86,9 @@
 	// TailTarget is the upper limit for the tail latency of a serving task; 0 for
 	// tasks that do not serve requests.
 	TailTarget time.Duration `msgpack:"t,omitempty"`
-	// Fills is set for best-effort tasks. They use the CPU that other tasks leave
-	// idle, and their own CPU does not count against a VM's capacity.
-	Fills bool `msgpack:"fi,omitempty"`
+	// BestEffort is set for tasks that use only the CPU that other tasks leave
+	// idle. Their CPU does not count against a VM's capacity.
+	BestEffort bool `msgpack:"fi,omitempty"`
 	// MaxUnavailable is the availability budget of a long-running step: the
 	// maximum number of tasks that the system may make unavailable at the same
 	// time; 0 means no limit.
@@ -98,7 +98,7 @@
 // Reservation returns the part of a VM's capacity that a task reserves.
 func (ste Step) Reservation() Size {
 	siz := ste.Size
-	if ste.Fills {
+	if ste.BestEffort {
 		siz.CPU = 0
 	}
 	return siz
--- a/internal/core/scheduler/assign.go
+++ b/internal/core/scheduler/assign.go
@@ -254,7 +254,7 @@
 		if pla.stage == nil {
 			continue
 		}
-		if oth := pla.stage.step; ste.Fills && oth.TailTarget > 0 || ste.TailTarget > 0 && oth.Fills {
+		if oth := pla.stage.step; ste.BestEffort && oth.TailTarget > 0 || ste.TailTarget > 0 && oth.BestEffort {
 			sco.interfering++
 		}
 	}
--- a/internal/core/scheduler/doc.go
+++ b/internal/core/scheduler/doc.go
@@ -32,7 +32,7 @@
 //     is a VM's record of a run that is over; the VM reports it until it is
 //     acknowledged.
 //   - Serving tasks have a target for their tail latency. Best-effort tasks
-//     (job.Step.Fills) use the processors that others leave idle; their pace is
+//     (job.Step.BestEffort) use the processors that others leave idle; their pace is
 //     the percentage of full speed at which they may run.
 //   - The duty is the exclusive right to dispatch, held by one process under a
 //     store lease. A tenure is the time for which a process holds it, and the
--- a/internal/core/scheduler/pace.go
+++ b/internal/core/scheduler/pace.go
@@ -6,22 +6,22 @@
 // serving tasks on a host, and whether both serving and best-effort tasks run
 // there.
 func (hos *host) tailRatio() (ratio float64, mixed bool) {
-	serves, fills := false, false
+	serving, bestEffort := false, false
 	for _, pla := range hos.runList {
 		if pla.stage == nil {
 			continue
 		}
 		ste := pla.stage.step
-		fills = fills || ste.Fills
+		bestEffort = bestEffort || ste.BestEffort
 		if ste.TailTarget <= 0 {
 			continue
 		}
-		serves = true
+		serving = true
 		if pla.percent == percentWorking {
 			ratio = max(ratio, float64(pla.load)/float64(ste.TailTarget.Milliseconds()))
 		}
 	}
-	return ratio, serves && fills
+	return ratio, serving && bestEffort
 }
 
 // controlPace sets the pace of a host's best-effort tasks after a poll.
@@ -36,7 +36,7 @@
 		sta.logDecision("pace_changed", "", map[string]any{"vm": hos.vm.ID, "percent": hos.pace.Percent, "tail_ratio": ratio})
 	}
 	for _, pla := range hos.runList {
-		if pla.stage == nil || !pla.stage.step.Fills || pla.state != runRunning || pla.pace == hos.pace.Percent || pla.paceInFlight {
+		if pla.stage == nil || !pla.stage.step.BestEffort || pla.state != runRunning || pla.pace == hos.pace.Percent || pla.paceInFlight {
 			continue
 		}
 		pla.paceInFlight = true
