--- a/internal/core/scheduler/attempts_test.go
+++ b/internal/core/scheduler/attempts_test.go
@@ -11,12 +11,12 @@
 
 // testVM returns a VM of the test's pool.
 func testVM(name string) worker.VM {
-	return worker.VM{ID: name, Born: 1, Pool: "lots", Address: name, AZ: "az0", Capacity: job.Size{CPU: 16_000, Memory: 32_768}}
+	return worker.VM{ID: name, StartedAtMS: 1, Pool: "lots", Address: name, AZ: "az0", Capacity: job.Size{CPU: 16_000, Memory: 32_768}}
 }
 
 // reportedEnd returns a VM's answer to a poll with one end.
 func reportedEnd(vm worker.VM, sent time.Time, end worker.End) PollAnswered {
-	return PollAnswered{VM: vm, Sent: sent, Report: worker.Report{Born: vm.Born, Clock: time.Second, Ends: []worker.End{end}}}
+	return PollAnswered{VM: vm, Sent: sent, Report: worker.Report{StartedAtMS: vm.StartedAtMS, Clock: time.Second, Ends: []worker.End{end}}}
 }
 
 // TestFailuresReportedOutOfOrder checks that a task does not start beyond its
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -110,7 +110,7 @@
 	vm          worker.VM
 	up          bool
 	partitioned bool
-	born        time.Time
+	startedAt   time.Time
 	fence       int64
 	runs        map[job.Task]*emulatedRun
 	ends        []worker.End
@@ -207,9 +207,9 @@
 func (emu *emulator) boot(vm *emulatedVM) {
 	vm.incarnations++
 	vm.up = true
-	vm.born = emu.now
+	vm.startedAt = emu.now
 	vm.vm.ID = fmt.Sprintf("%s.%d", vm.vm.Address, vm.incarnations)
-	vm.vm.Born = emu.now.UnixMilli()
+	vm.vm.StartedAtMS = emu.now.UnixMilli()
 	vm.fence, vm.number, vm.deadline = 0, 0, 0
 	vm.runs, vm.ends, vm.tombstones = map[job.Task]*emulatedRun{}, nil, map[job.Task]int{}
 	vm.endTimes, vm.lapsed = map[int64]time.Time{}, time.Time{}
@@ -253,7 +253,7 @@
 
 // clock returns a VM's monotonic clock, which is 2% slow.
 func (emu *emulator) clock(vm *emulatedVM) time.Duration {
-	return time.Duration(float64(emu.now.Sub(vm.born)) * 0.98)
+	return time.Duration(float64(emu.now.Sub(vm.startedAt)) * 0.98)
 }
 
 // deliver queues an event for the dispatcher, if there is one.
@@ -868,7 +868,7 @@
 
 // reportOf returns a VM's report of its runs and ends.
 func (emu *emulator) reportOf(vm *emulatedVM) worker.Report {
-	rep := worker.Report{Clock: emu.clock(vm), Born: vm.vm.Born, Ends: append([]worker.End(nil), vm.ends...)}
+	rep := worker.Report{Clock: emu.clock(vm), StartedAtMS: vm.vm.StartedAtMS, Ends: append([]worker.End(nil), vm.ends...)}
 	for _, name := range vm.sorted() {
 		run := vm.runs[name]
 		rep.Running = append(rep.Running, worker.Running{Task: name, Run: run.run, Percent: 100})
--- a/internal/core/scheduler/gang_test.go
+++ b/internal/core/scheduler/gang_test.go
@@ -120,10 +120,10 @@
 	oth := name
 	oth.Index = 1
 	reduce(CatalogChanged{testCatalog()}, VMRegistered{one}, Loaded{})
-	reduce(PollAnswered{VM: one, Sent: now, Report: worker.Report{Born: 1, Clock: time.Second}})
+	reduce(PollAnswered{VM: one, Sent: now, Report: worker.Report{StartedAtMS: 1, Clock: time.Second}})
 	reduce(JobAccepted{Spec: spe, Revision: 5})
 	assert.Equal(t, len(starts), 2)
-	reduce(PollAnswered{VM: one, Sent: now.Add(time.Millisecond), Report: worker.Report{Born: 1, Clock: time.Second, Ends: []worker.End{
+	reduce(PollAnswered{VM: one, Sent: now.Add(time.Millisecond), Report: worker.Report{StartedAtMS: 1, Clock: time.Second, Ends: []worker.End{
 		{Number: 1, Task: name, Run: 1, Kind: worker.EndStopped, Checkpoint: "late"},
 		{Number: 2, Task: oth, Run: 1, Kind: worker.EndGangBroken, Checkpoint: "early"},
 	}}})
--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -234,12 +234,12 @@
 
 // applyReport updates a host from a VM's report of its active and ended runs.
 func (sta *State) applyReport(hos *host, evt PollAnswered) {
-	if born := evt.Report.Born; born != 0 {
-		if hos.vm.Born != 0 && born != hos.vm.Born {
+	if startedAtMS := evt.Report.StartedAtMS; startedAtMS != 0 {
+		if hos.vm.StartedAtMS != 0 && startedAtMS != hos.vm.StartedAtMS {
 			sta.removeHost(hos, "the VM reported another start time")
 			return
 		}
-		hos.vm.Born = born
+		hos.vm.StartedAtMS = startedAtMS
 	}
 	hos.failedPolls = 0
 	hos.fenced = true
--- a/internal/core/scheduler/stale_test.go
+++ b/internal/core/scheduler/stale_test.go
@@ -32,7 +32,7 @@
 		}
 	}
 	lists := func(vm worker.VM, runs ...int) PollAnswered {
-		rep := worker.Report{Born: vm.Born, Clock: time.Second}
+		rep := worker.Report{StartedAtMS: vm.StartedAtMS, Clock: time.Second}
 		for _, run := range runs {
 			rep.Running = append(rep.Running, worker.Running{Task: name, Run: run})
 		}
@@ -46,12 +46,12 @@
 	reduce(lists(one, 3))
 	// VM 2 is in quarantine for a while, so VM 1 is the only candidate.
 	sta.hosts[oth.ID].failures = maxFailures + 2
-	reduce(PollAnswered{VM: oth, Sent: now, Report: worker.Report{Born: 1, Clock: time.Second, Ends: []worker.End{{Number: 1, Task: name, Run: 5, Kind: worker.EndFailed}}}})
+	reduce(PollAnswered{VM: oth, Sent: now, Report: worker.Report{StartedAtMS: 1, Clock: time.Second, Ends: []worker.End{{Number: 1, Task: name, Run: 5, Kind: worker.EndFailed}}}})
 	reduce(Tick{})
 	for _, start := range starts {
 		assert.Assert(t, start.VM.ID != one.ID, "run %d starts on %s, where run 3 is being stopped", start.Run, start.VM.ID)
 	}
-	reduce(PollAnswered{VM: one, Sent: now, Report: worker.Report{Born: 1, Clock: time.Second, Ends: []worker.End{{Number: 1, Task: name, Run: 3, Kind: worker.EndStopped}}}})
+	reduce(PollAnswered{VM: one, Sent: now, Report: worker.Report{StartedAtMS: 1, Clock: time.Second, Ends: []worker.End{{Number: 1, Task: name, Run: 3, Kind: worker.EndStopped}}}})
 	for range 300 {
 		reduce(Tick{})
 	}
--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -19,11 +19,11 @@
 // VM is one incarnation of a VM, as registered in the store. It is immutable.
 type VM struct {
 	// ID is unique among incarnations, except that a VM may restart under the
-	// same ID; Born differs then.
+	// same ID; StartedAtMS differs then.
 	ID string
-	// Born is the start time of this incarnation in Unix milliseconds; 0 if not
-	// reported.
-	Born int64
+	// StartedAtMS is the start time of this incarnation in Unix milliseconds; 0
+	// if not reported.
+	StartedAtMS int64
 	// Pool is the name of the pool that the VM serves.
 	Pool    string
 	Address string
@@ -46,7 +46,7 @@
 // SameIncarnation reports whether two registrations belong to the same
 // incarnation. An unreported start time matches any other.
 func (one VM) SameIncarnation(oth VM) bool {
-	return one.ID == oth.ID && (one.Born == oth.Born || one.Born == 0 || oth.Born == 0) && one.Address == oth.Address
+	return one.ID == oth.ID && (one.StartedAtMS == oth.StartedAtMS || one.StartedAtMS == 0 || oth.StartedAtMS == 0) && one.Address == oth.Address
 }
 
 // HasLabel reports whether the VM has the given label.
@@ -105,9 +105,10 @@
 // Report is a VM's response to a poll.
 type Report struct {
 	// Clock is the reading of the VM's own clock at the time of the response.
-	Clock   time.Duration
-	Born    int64
-	Running []Running
+	Clock time.Duration
+	// StartedAtMS is the start time of the incarnation that responded, as in VM.
+	StartedAtMS int64
+	Running     []Running
 	// Ends is sorted by number. All ends with lower numbers than the first one
 	// have been acknowledged.
 	Ends []End
