--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -13,8 +13,8 @@
 
 // Advice describes the advisor that decides which VMs may run a queue's steps.
 type Advice struct {
-	// Decision is the fixed part of the advisor's response time.
-	Decision time.Duration
+	// BaseLatency is the fixed part of the advisor's response time.
+	BaseLatency time.Duration
 	// PerVM is the additional response time for each VM in the request.
 	PerVM time.Duration
 	// Valid is the time for which a ticket is valid.
