--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -15,8 +15,8 @@
 type Advice struct {
 	// BaseLatency is the fixed part of the advisor's response time.
 	BaseLatency time.Duration
-	// PerVM is the additional response time for each VM in the request.
-	PerVM time.Duration
+	// LatencyPerVM is the additional response time for each VM in the request.
+	LatencyPerVM time.Duration
 	// Valid is the time for which a ticket is valid.
 	Valid time.Duration
 }
--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -66,7 +66,7 @@
 	if adv == nil {
 		return 0
 	}
-	return adv.BaseLatency + maxQueryVMs*adv.PerVM
+	return adv.BaseLatency + maxQueryVMs*adv.LatencyPerVM
 }
 
 // prerequisitesStarted reports whether all tasks that a stage depends on are
--- a/internal/core/scheduler/advice_test.go
+++ b/internal/core/scheduler/advice_test.go
@@ -38,7 +38,7 @@
 		emu.fail("%d concurrent queries with %d slots", adv.inFlight, adv.slots)
 	}
 	sent, term := emu.now, emu.term
-	emu.after(adv.advice.BaseLatency+time.Duration(len(eff.VMs))*adv.advice.PerVM, func() {
+	emu.after(adv.advice.BaseLatency+time.Duration(len(eff.VMs))*adv.advice.LatencyPerVM, func() {
 		if term != emu.term {
 			return
 		}
@@ -63,7 +63,7 @@
 func advisedScenario(slots int) *emulator {
 	emu := newEmulator(1, testCatalog())
 	emu.advisor = &emulatedAdvisor{
-		advice: catalog.Advice{BaseLatency: 300 * time.Millisecond, PerVM: 2 * time.Millisecond, Valid: 3 * time.Second},
+		advice: catalog.Advice{BaseLatency: 300 * time.Millisecond, LatencyPerVM: 2 * time.Millisecond, Valid: 3 * time.Second},
 		slots:  slots, tickets: map[string]time.Time{},
 	}
 	emu.catalog.Queues[0].Advice = &emu.advisor.advice
