--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -70,9 +70,9 @@
 type Account struct {
 	Name string
 	Keys []string
-	// Weight is the rate, in jobs per second, that the account is entitled to when
-	// a pool is full; 0 means no limit.
-	Weight float64
+	// JobRate is the number of jobs per second that the account is entitled to
+	// when a pool is full; 0 means no limit.
+	JobRate float64
 	// Cap is the maximum size of the account's running tasks over all pools; a
 	// component of 0 means no limit.
 	Cap job.Size
--- a/internal/core/scheduler/account_test.go
+++ b/internal/core/scheduler/account_test.go
@@ -15,8 +15,8 @@
 // in time.
 func TestAccountOverEntitlement(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
-	emu.catalog.Accounts[0].Weight, emu.catalog.Accounts[0].Cap = 6, job.Size{}
-	emu.catalog.Accounts[1].Weight = 4
+	emu.catalog.Accounts[0].JobRate, emu.catalog.Accounts[0].Cap = 6, job.Size{}
+	emu.catalog.Accounts[1].JobRate = 4
 	emu.addVMs("lots", 6, 3, job.Size{CPU: 16_000, Memory: 32_768})
 	emu.takeOver(testOptions())
 	number := 0
--- a/internal/core/scheduler/jobs.go
+++ b/internal/core/scheduler/jobs.go
@@ -39,7 +39,7 @@
 	if acc == nil || liv.spec.IsLongRunning() || liv.restored {
 		return
 	}
-	buc, within := sta.allowances[acc.Name].WithJob(sta.now, acc.Weight, sta.opt.ShareWindow)
+	buc, within := sta.allowances[acc.Name].WithJob(sta.now, acc.JobRate, sta.opt.ShareWindow)
 	sta.allowances[acc.Name] = buc
 	liv.excess = !within
 }
