--- a/internal/core/rebalance/rebalance.go
+++ b/internal/core/rebalance/rebalance.go
@@ -21,8 +21,8 @@
 	// Want is the number of machines that the pool needs now. Keep is the highest
 	// number that it needed recently; it is never below Want.
 	Want, Keep int
-	// Empty lists the pool's idle machines, those idle for longest first.
-	Empty []IdleMachine
+	// Idle lists the pool's idle machines, those idle for longest first.
+	Idle []IdleMachine
 }
 
 // IdleMachine is a machine that runs no tasks.
@@ -76,11 +76,11 @@
 			if src.Name == to || src.Standby != standby || !standby && src.Have <= src.Keep {
 				continue
 			}
-			for j, idl := range src.Empty {
+			for j, idl := range src.Idle {
 				if !allowed(idl.Machine, to) {
 					continue
 				}
-				src.Empty = slices.Delete(slices.Clone(src.Empty), j, j+1)
+				src.Idle = slices.Delete(slices.Clone(src.Idle), j, j+1)
 				src.Have--
 				return Move{Machine: idl.Machine, From: src.Name, To: to}, true
 			}
@@ -102,7 +102,7 @@
 		if src.Standby {
 			continue
 		}
-		for _, idl := range src.Empty {
+		for _, idl := range src.Idle {
 			if len(moves) >= limit || src.Have <= src.Keep {
 				break
 			}
--- a/internal/core/rebalance/rebalance_test.go
+++ b/internal/core/rebalance/rebalance_test.go
@@ -20,9 +20,9 @@
 // machines that fell idle move before those on standby.
 func TestDemandShift(t *testing.T) {
 	pools := []Pool{
-		{Name: "cooling", Have: 6, Want: 2, Keep: 4, Empty: idle(time.Second, "a", "b", "c", "d")},
+		{Name: "cooling", Have: 6, Want: 2, Keep: 4, Idle: idle(time.Second, "a", "b", "c", "d")},
 		{Name: "hot", Have: 2, Want: 7, Keep: 7},
-		{Name: "standby", Standby: true, Have: 2, Empty: idle(0, "s", "t")},
+		{Name: "standby", Standby: true, Have: 2, Idle: idle(0, "s", "t")},
 	}
 	assert.DeepEqual(t, Plan(pools, 10, 10, anywhere), []Move{
 		{"a", "cooling", "hot"}, {"b", "cooling", "hot"}, {"s", "standby", "hot"}, {"t", "standby", "hot"},
@@ -36,7 +36,7 @@
 	pools := []Pool{
 		{Name: "little", Have: 2, Want: 3, Keep: 3},
 		{Name: "much", Have: 2, Want: 9, Keep: 9},
-		{Name: "standby", Standby: true, Have: 1, Empty: idle(0, "s")},
+		{Name: "standby", Standby: true, Have: 1, Idle: idle(0, "s")},
 	}
 	assert.DeepEqual(t, Plan(pools, 10, 10, anywhere), []Move{{"s", "standby", "much"}})
 }
@@ -45,7 +45,7 @@
 // to standby, and no more of them than the given limit.
 func TestIdleToStandby(t *testing.T) {
 	pools := []Pool{
-		{Name: "calm", Have: 6, Want: 2, Keep: 3, Empty: append(idle(5*time.Second, "a", "b"), idle(time.Second, "c")...)},
+		{Name: "calm", Have: 6, Want: 2, Keep: 3, Idle: append(idle(5*time.Second, "a", "b"), idle(time.Second, "c")...)},
 		{Name: "standby", Standby: true},
 	}
 	assert.DeepEqual(t, Plan(pools, 10, 10, anywhere), []Move{{"a", "calm", "standby"}, {"b", "calm", "standby"}})
@@ -58,7 +58,7 @@
 func TestDisallowedMoves(t *testing.T) {
 	pools := []Pool{
 		{Name: "hot", Have: 2, Want: 4, Keep: 4},
-		{Name: "standby", Standby: true, Have: 2, Empty: idle(0, "s", "t")},
+		{Name: "standby", Standby: true, Have: 2, Idle: idle(0, "s", "t")},
 	}
 	assert.DeepEqual(t, Plan(pools, 10, 10, func(machine, _ string) bool { return machine != "s" }), []Move{{"t", "standby", "hot"}})
 }
--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -159,7 +159,7 @@
 	sta.poolsLoggedAt = sta.now
 	fields := map[string]any{}
 	for _, poo := range pools {
-		fields[poo.Name] = map[string]int{"have": poo.Have, "want": poo.Want, "keep": poo.Keep, "empty": len(poo.Empty)}
+		fields[poo.Name] = map[string]int{"have": poo.Have, "want": poo.Want, "keep": poo.Keep, "empty": len(poo.Idle)}
 	}
 	sta.logDecision("pools", "", fields)
 }
@@ -172,8 +172,8 @@
 		poo := &sta.catalog.Pools[i]
 		rbp := rebalance.Pool{Name: poo.Name, Standby: poo.Standby, Have: incoming[poo.Name]}
 		if poo.Standby {
-			rbp.Empty = sta.standbyMachines(poo.Name)
-			rbp.Have = len(rbp.Empty)
+			rbp.Idle = sta.standbyMachines(poo.Name)
+			rbp.Have = len(rbp.Idle)
 			pools = append(pools, rbp)
 			continue
 		}
@@ -195,7 +195,7 @@
 				longRunningHosts++
 			}
 			if name, ok := sta.machines.byVM[hos.vm.ID]; ok && len(hos.runList) == 0 {
-				rbp.Empty = append(rbp.Empty, rebalance.IdleMachine{Machine: name, IdleFor: sta.now.Sub(hos.idleSince)})
+				rbp.Idle = append(rbp.Idle, rebalance.IdleMachine{Machine: name, IdleFor: sta.now.Sub(hos.idleSince)})
 			}
 		}
 		cores += neededCores[poo.Name] + dem.rate*leadTime.Seconds()
