--- a/internal/core/catalog/catalog.go
+++ b/internal/core/catalog/catalog.go
@@ -17,7 +17,8 @@
 	BaseLatency time.Duration
 	// LatencyPerVM is the additional response time for each VM in the request.
 	LatencyPerVM time.Duration
-	// Valid is the time for which a ticket is valid.
+	// Valid is the time for which a ticket, the advisor's permission to run a step
+	// on a VM, is valid.
 	Valid time.Duration
 }
 
@@ -25,8 +26,8 @@
 type Queue struct {
 	// Name is unique among the queues.
 	Name string
-	// Host and Prefix select the calls that belong to the queue. Hosts are
-	// compared without regard to case.
+	// Host and Prefix select the calls that belong to the queue, by HTTP host and
+	// path prefix. Hosts are compared without regard to case.
 	Host   string
 	Prefix string
 	// Pool is the name of the pool that runs the tasks.
@@ -92,36 +93,36 @@
 	// MaxBody is the maximum size of a call's body in bytes; 0 means no limit.
 	MaxBody int64
 
-	queues   map[string]*Queue
-	pools    map[string]*Pool
-	accounts map[string]*Account
-	keys     map[string]*Account
-	hosts    map[string][]*Queue
+	queues        map[string]*Queue
+	pools         map[string]*Pool
+	accounts      map[string]*Account
+	accountsByKey map[string]*Account
+	queuesByHost  map[string][]*Queue
 }
 
 // New returns the catalog with its indexes built.
 func New(cat Catalog) Catalog {
 	cat.queues = make(map[string]*Queue, len(cat.Queues))
-	cat.hosts = map[string][]*Queue{}
+	cat.queuesByHost = map[string][]*Queue{}
 	for i := range cat.Queues {
 		que := &cat.Queues[i]
 		cat.queues[que.Name] = que
 		host := strings.ToLower(que.Host)
-		cat.hosts[host] = append(cat.hosts[host], que)
+		cat.queuesByHost[host] = append(cat.queuesByHost[host], que)
 	}
 	cat.pools = make(map[string]*Pool, len(cat.Pools))
 	for i := range cat.Pools {
 		cat.pools[cat.Pools[i].Name] = &cat.Pools[i]
 	}
 	cat.accounts = make(map[string]*Account, len(cat.Accounts))
-	cat.keys = map[string]*Account{}
+	cat.accountsByKey = map[string]*Account{}
 	for i := range cat.Accounts {
 		acc := &cat.Accounts[i]
 		cat.accounts[acc.Name] = acc
 		for _, key := range acc.Keys {
 			// A call without a key must not match any account.
 			if key != "" {
-				cat.keys[key] = acc
+				cat.accountsByKey[key] = acc
 			}
 		}
 	}
@@ -138,13 +139,13 @@
 func (cat Catalog) Account(name string) *Account { return cat.accounts[name] }
 
 // AccountOf returns the client account that the key belongs to, or nil.
-func (cat Catalog) AccountOf(key string) *Account { return cat.keys[key] }
+func (cat Catalog) AccountOf(key string) *Account { return cat.accountsByKey[key] }
 
 // Match returns the queue of the host with the longest prefix that matches the
 // path, or nil.
 func (cat Catalog) Match(host, path string) *Queue {
 	var best *Queue
-	for _, que := range cat.hosts[strings.ToLower(host)] {
+	for _, que := range cat.queuesByHost[strings.ToLower(host)] {
 		if strings.HasPrefix(path, que.Prefix) && (best == nil || len(que.Prefix) > len(best.Prefix)) {
 			best = que
 		}
--- a/internal/core/plan/assign.go
+++ b/internal/core/plan/assign.go
@@ -117,7 +117,8 @@
 }
 
 // isSurplus reports whether a pool is a spare pool with more VMs than its
-// configured number in the VM's availability zone.
+// configured number in the VM's availability zone. A pool that names no spare
+// pool is one itself.
 func (asr *assigner) isSurplus(pool string, one vm.VM) bool {
 	poo, ok := asr.cfg.Pool(pool)
 	return ok && poo.Spare == "" && asr.have[poolAZ{pool, one.AZ}] > poo.VMs[one.AZ]
--- a/internal/core/rebalance/rebalance.go
+++ b/internal/core/rebalance/rebalance.go
@@ -21,7 +21,7 @@
 	// Want is the number of machines that the pool needs now. Keep is the highest
 	// number that it needed recently; it is never below Want.
 	Want, Keep int
-	// Idle lists the pool's idle machines, those idle for longest first.
+	// Idle lists the pool's idle machines in the order in which they are moved.
 	Idle []IdleMachine
 }
 
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -84,7 +84,8 @@
 // Candidate is a machine whose upkeep has yet to begin.
 type Candidate struct {
 	Machine string
-	// Up is set if the machine is up and its VM is not shutting down.
+	// Up is set if the machine is up and its VM, if registered, answers and is not
+	// shutting down.
 	Up bool
 	// LostWork is the unsaved work, in core-seconds, that upkeep would discard.
 	LostWork float64
--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -1,10 +1,11 @@
 // Package worker describes the VMs that run tasks and the reports that they
 // send to the dispatcher.
 //
-// A VM is one incarnation of a VM that runs tasks: from one start of the VM to
-// its end. A Machine is the machine below it, which outlasts incarnations. A run
-// is one attempt to execute a task on a VM. The scheduler calls its record of a VM
-// a host, and package platform calls the client for these VMs Executors.
+// A VM is one incarnation of a virtual machine that runs tasks: from one start to
+// its end. A Machine is what the platform lists, moves and maintains; it outlasts
+// the VMs that run on it. A run is one attempt to execute a task on a VM. The
+// scheduler calls its record of a VM a host, and package platform calls the client
+// for these VMs Executors.
 //
 // The VMs of the entries, which offer the services executor and worker, are
 // described by package vm.
@@ -16,7 +17,8 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/job"
 )
 
-// VM is one incarnation of a VM, as registered in the store. It is immutable.
+// VM is one incarnation of a virtual machine, as registered in the store. It is
+// immutable.
 type VM struct {
 	// ID is unique among incarnations, except that a VM may restart under the
 	// same ID; StartedAtMS differs then.
@@ -133,7 +135,8 @@
 	ResultLate
 	// ResultNoRoom means that the VM has too little free capacity for the task.
 	ResultNoRoom
-	// ResultNoTicket means that the ticket from the advisor is missing or invalid.
+	// ResultNoTicket means that the advisor's permission to run the step on the VM
+	// is missing or invalid.
 	ResultNoTicket
 	// ResultUnhealthy means that the order was not carried out: the VM refused it
 	// or could not be reached.
