--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -14,8 +14,8 @@
 	// queryInterval is the minimum time between two queries about a step.
 	queryInterval = 300 * time.Millisecond
 	// maxQueryVMs is the maximum number of VMs in a query. The advisor takes
-	// time for each of them, and the users allow for a query of about 30 VMs in
-	// a job's latency objective.
+	// time for each of them, and the latency objectives of jobs allow for queries
+	// of about 30 VMs.
 	maxQueryVMs = 30
 	// ticketSlack is how long before its expiry a ticket is no longer used, to
 	// cover the transit time of an order.
@@ -81,31 +81,32 @@
 	return true
 }
 
-// enqueueAdvisorQuery queues a query for a stage that needs advice on more
-// VMs. sendAdvisorQueries sends the queries in order of priority.
+// enqueueAdvisorQuery queues a query for a stage that needs advice on more VMs,
+// those with free capacity for a task first. sendAdvisorQueries sends the queries
+// in order of priority.
 func (sta *State) enqueueAdvisorQuery(stg *stage, hosts []*host) {
 	adv := &stg.advice
 	if sta.adviceFor(stg.liveJob.spec.Queue) == nil || adv.inFlight || sta.now.Sub(adv.queriedAt) < queryInterval {
 		return
 	}
 	reservation := stg.step.Reservation()
-	var first, later []string
+	var withCapacity, withoutCapacity []string
 	for _, hos := range hosts {
 		switch {
 		case adv.denied[hos.vm.ID] || adv.ticketFor(hos.vm.ID, sta.now) != "":
 		case stg.step.Label != "" && !hos.vm.HasLabel(stg.step.Label):
 		case reservation.Fits(hos.vm.Capacity.Minus(hos.used)):
-			first = append(first, hos.vm.ID)
+			withCapacity = append(withCapacity, hos.vm.ID)
 		default:
-			later = append(later, hos.vm.ID)
+			withoutCapacity = append(withoutCapacity, hos.vm.ID)
 		}
 	}
-	vms := append(first, later...)
+	vms := append(withCapacity, withoutCapacity...)
 	if len(vms) == 0 {
 		return
 	}
 	sta.advisorQueue = append(sta.advisorQueue, advisorQuery{
-		priorityKey: sta.priorityKey(stg), stage: stg, vms: vms[:min(len(vms), maxQueryVMs)], prefetch: len(first) == 0 || stg.blockers > 0,
+		priorityKey: sta.priorityKey(stg), stage: stg, vms: vms[:min(len(vms), maxQueryVMs)], prefetch: len(withCapacity) == 0 || stg.blockers > 0,
 	})
 }
 
@@ -119,10 +120,10 @@
 	prefetch bool
 }
 
-// boolOrder compares a value to one that differs from it: true sorts after
-// false.
-func boolOrder(late bool) int {
-	if late {
+// boolOrder returns the sort order of a boolean relative to its negation: false
+// comes before true.
+func boolOrder(val bool) int {
+	if val {
 		return 1
 	}
 	return -1
--- a/internal/core/scheduler/assign.go
+++ b/internal/core/scheduler/assign.go
@@ -165,18 +165,18 @@
 	})
 }
 
-// chooseHost returns the best host for a task of a stage, beside the tasks of
-// a trial placement, or nil if there is none.
-func (sta *State) chooseHost(stg *stage, index int, hosts []*host, tri trial) (best *host) {
+// chooseHost returns the best host for a task of a stage, or nil if there is none.
+// Tasks in planned take up capacity as well.
+func (sta *State) chooseHost(stg *stage, index int, hosts []*host, planned plannedTasks) (best *host) {
 	var bestScore score
 	name := stg.task(index)
 	for _, hos := range hosts {
 		// A former run that is being stopped there would be mistaken for the new
 		// one.
-		if hos.runs[name] != nil || !sta.canRun(stg, hos, tri[hos]) {
+		if hos.runs[name] != nil || !sta.canRun(stg, hos, planned[hos]) {
 			continue
 		}
-		sco := sta.score(stg, hos, tri[hos])
+		sco := sta.score(stg, hos, planned[hos])
 		if best == nil || sco.better(bestScore) {
 			best, bestScore = hos, sco
 		}
@@ -184,8 +184,8 @@
 	return best
 }
 
-// canRun reports whether a task of a stage may run on a host beside a number
-// of other planned tasks of the stage.
+// canRun reports whether a task of a stage may run on a host where the given
+// number of other tasks of the stage are planned.
 func (sta *State) canRun(stg *stage, hos *host, planned int) bool {
 	ste := stg.step
 	if !ste.Reservation().Times(planned + 1).Fits(hos.vm.Capacity.Minus(hos.used)) {
@@ -224,8 +224,8 @@
 	// interfering is the number of tasks on the host that would slow down the
 	// task or be slowed down by it.
 	interfering int
-	// free is the share of the host's processors that stays free. Tasks are
-	// packed, so that other hosts become empty and can be moved.
+	// free is the share of the host's CPU that stays free. Tasks are packed, so
+	// that other hosts become idle and their machines can be moved.
 	free float64
 }
 
@@ -243,7 +243,8 @@
 	}
 }
 
-// score rates a host for a task of a stage beside a number of planned ones.
+// score rates a host for a task of a stage where the given number of other tasks
+// of the stage are planned.
 func (sta *State) score(stg *stage, hos *host, planned int) score {
 	ste := stg.step
 	sco := score{remote: ste.DataRack != "" && !hos.vm.HasLabel(ste.DataRack)}
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -28,8 +28,9 @@
 
 	catalog catalog.Catalog
 	vms     map[string]*emulatedVM
-	names   []string
-	store   *emulatedStore
+	// names holds the keys of vms in the order in which they were added.
+	names []string
+	store *emulatedStore
 
 	sched          *State
 	opt            Options
@@ -105,7 +106,7 @@
 	return last
 }
 
-// emulatedVM is a machine with its current VM.
+// emulatedVM is a machine and the VM that currently runs on it.
 type emulatedVM struct {
 	vm          worker.VM
 	up          bool
@@ -114,16 +115,16 @@
 	fence       int64
 	runs        map[job.Task]*emulatedRun
 	ends        []worker.End
-	// endTimes holds the time of each end of this VM by its number; lapsed is
-	// when the lease last expired.
-	endTimes     map[int64]time.Time
-	lapsed       time.Time
-	number       int64
-	tombstones   map[job.Task]int
-	deadline     time.Duration
-	incarnations int
-	waiter       func()
-	failsTasks   bool
+	// endTimes holds the time of each end of this VM by its number;
+	// leaseExpiredAt is when the lease last expired.
+	endTimes       map[int64]time.Time
+	leaseExpiredAt time.Time
+	number         int64
+	tombstones     map[job.Task]int
+	deadline       time.Duration
+	incarnations   int
+	waiter         func()
+	failsTasks     bool
 	// offline reports whether the machine is down for upkeep or moving.
 	// upkeepBegun holds the waves in which its upkeep has begun.
 	offline     bool
@@ -212,7 +213,7 @@
 	vm.vm.StartedAtMS = emu.now.UnixMilli()
 	vm.fence, vm.number, vm.deadline = 0, 0, 0
 	vm.runs, vm.ends, vm.tombstones = map[job.Task]*emulatedRun{}, nil, map[job.Task]int{}
-	vm.endTimes, vm.lapsed = map[int64]time.Time{}, time.Time{}
+	vm.endTimes, vm.leaseExpiredAt = map[int64]time.Time{}, time.Time{}
 	one := vm.vm
 	emu.after(emulatedLatency, func() { emu.deliver(VMRegistered{VM: one}) })
 }
@@ -589,7 +590,7 @@
 		if vm.vm.ID != id || !vm.up || emu.clock(vm) < vm.deadline {
 			return
 		}
-		vm.lapsed = emu.now
+		vm.leaseExpiredAt = emu.now
 		for _, name := range vm.sorted() {
 			emu.endRun(vm, name, vm.runs[name], worker.EndLeaseExpired)
 		}
@@ -851,7 +852,7 @@
 			kept = append(kept, end)
 			continue
 		}
-		if end.Kind == worker.EndFailed && vm.lapsed.Before(vm.endTimes[end.Number]) {
+		if end.Kind == worker.EndFailed && vm.leaseExpiredAt.Before(vm.endTimes[end.Number]) {
 			tru := emu.truthOf(end.Task)
 			tru.failedAcked = append(tru.failedAcked, vm.endTimes[end.Number])
 			emu.checkAttempts(end.Task)
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -51,8 +51,10 @@
 
 // PollAnswered answers a Poll.
 type PollAnswered struct {
-	VM     worker.VM
-	Sent   time.Time
+	VM worker.VM
+	// Sent is when the poll was sent.
+	Sent time.Time
+	// Report is valid if Result is ResultOK.
 	Report worker.Report
 	Result worker.Result
 }
@@ -92,11 +94,15 @@
 	Job        job.ID
 	Occurrence int
 	Step       int
-	Sent       time.Time
+	// Sent is when the query was sent.
+	Sent time.Time
 	// VMs lists the VMs that the query named.
-	VMs     []string
+	VMs []string
+	// Tickets holds the tokens of the tickets by VM. The step may not run on the
+	// VMs without one.
 	Tickets map[string]string
-	Valid   time.Duration
+	// Valid is the time for which the tickets are valid.
+	Valid time.Duration
 }
 
 // AdvisorSlotsChanged carries the maximum number of concurrent queries to the
--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// trial is a tentative placement: the number of a stage's tasks planned on
-// each host.
-type trial map[*host]int
+// plannedTasks counts, by host, the tasks of a stage that are to start there but
+// have not been ordered yet.
+type plannedTasks map[*host]int
 
 // placeGang starts all tasks of a gang or none.
 func (sta *State) placeGang(stg *stage, hosts []*host) {
@@ -80,13 +80,13 @@
 // chooseHosts returns a host for each task of a stage, or nil if they do not
 // all fit.
 func (sta *State) chooseHosts(stg *stage, hosts []*host) (chosen []*host) {
-	tri := trial{}
+	planned := plannedTasks{}
 	for i := range stg.tasks {
-		hos := sta.chooseHost(stg, i, hosts, tri)
+		hos := sta.chooseHost(stg, i, hosts, planned)
 		if hos == nil {
 			return nil
 		}
-		tri[hos]++
+		planned[hos]++
 		chosen = append(chosen, hos)
 	}
 	return chosen
--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -12,8 +12,8 @@
 
 // Parameters of polls and leases.
 const (
-	// clockDriftFactor is the longest real time per unit of time on a VM's
-	// clock, which may lose 2%.
+	// clockDriftFactor is an upper limit for the real time that passes in one unit
+	// of time on a VM's clock, which may be 2% slow.
 	clockDriftFactor = 1.03
 	// leaseExpirySlack is the delay with which a VM notices that a lease has
 	// expired.
@@ -22,7 +22,7 @@
 	// answers a poll.
 	pollWait = 800 * time.Millisecond
 	// mixedPollWait replaces pollWait on VMs where serving and best-effort tasks
-	// share processors: the platform measures tail latencies over half a second.
+	// share CPUs: the platform measures tail latencies over half a second.
 	mixedPollWait = 400 * time.Millisecond
 	// minPollInterval is the minimum time between two polls of a VM.
 	minPollInterval = 30 * time.Millisecond
@@ -66,7 +66,7 @@
 		leaseExpiry = sta.opt.Since.Add(sta.maxLeaseTime())
 	}
 	sta.hosts[one.ID] = &host{
-		vm: one, runs: map[job.Task]*placement{}, stored: map[int64]bool{}, leaseExpiry: leaseExpiry, nextPoll: sta.now, idleSince: sta.now, firstSeen: sta.now,
+		vm: one, runs: map[job.Task]*placement{}, ackable: map[int64]bool{}, leaseExpiry: leaseExpiry, nextPoll: sta.now, idleSince: sta.now, firstSeen: sta.now,
 		pace: pace.NewControl(),
 	}
 	sta.indexHosts()
@@ -97,7 +97,8 @@
 	sta.indexHosts()
 }
 
-// release removes a run that is over. Its task waits again unless it is done.
+// release removes a run that is over, or that never started. Its task waits again
+// unless it is done.
 func (sta *State) release(hos *host, pla *placement) {
 	delete(hos.runs, pla.task)
 	hos.runList = slices.DeleteFunc(hos.runList, func(oth *placement) bool { return oth == pla })
@@ -171,7 +172,7 @@
 		if hos.pollInFlight || sta.now.Before(hos.nextPoll) {
 			continue
 		}
-		idle := hos.fenced && hos.failedPolls == 0 && len(hos.runs) == 0 && !hos.reportDue
+		idle := hos.termAccepted && hos.failedPolls == 0 && len(hos.runs) == 0 && !hos.reportDue
 		if idle && (!hos.ackDue || sta.now.Sub(hos.lastPoll) < idleAckDelay) {
 			continue
 		}
@@ -181,10 +182,10 @@
 
 // sendPoll polls a VM and acknowledges its ends.
 func (sta *State) sendPoll(hos *host) {
-	pol := Poll{VM: hos.vm, Acked: hos.acked}
+	pol := Poll{VM: hos.vm, Acked: hos.ackableUpTo}
 	// A silent VM may still receive polls. If they extended its lease, its tasks
 	// would have to wait longer to start elsewhere.
-	if hos.fenced && hos.failedPolls == 0 {
+	if hos.termAccepted && hos.failedPolls == 0 {
 		pol.Deadline = sta.extendLease(hos)
 		if len(hos.runs) > 0 && !hos.hasUnresolvedRuns() {
 			pol.Wait = pollWait
@@ -198,11 +199,11 @@
 	sta.emit(pol)
 }
 
-// hasUnresolvedRuns reports whether the VM has runs that may be active or not.
-// A poll that does not wait resolves them.
+// hasUnresolvedRuns reports whether it is unknown of some runs whether they are
+// active on the VM. A poll that does not wait resolves them.
 func (hos *host) hasUnresolvedRuns() bool {
 	for _, pla := range hos.runList {
-		if pla.state == runUnknown || pla.state == runRejected {
+		if pla.state == runUnknown || pla.state == runStopAccepted {
 			return true
 		}
 	}
@@ -242,10 +243,10 @@
 		hos.vm.StartedAtMS = startedAtMS
 	}
 	hos.failedPolls = 0
-	hos.fenced = true
+	hos.termAccepted = true
 	hos.clock, hos.clockAt = evt.Report.Clock, sta.now
 	if len(evt.Report.Ends) > 0 {
-		hos.acknowledgeBefore(evt.Report.Ends[0].Number)
+		hos.markAcknowledgedBefore(evt.Report.Ends[0].Number)
 	}
 	for _, end := range evt.Report.Ends {
 		if end.Number > hos.lastEnd {
@@ -309,32 +310,32 @@
 	switch pla.state {
 	case runUnknown:
 		sta.stop(pla)
-	case runRunning, runRejected:
+	case runRunning, runStopAccepted:
 		sta.release(hos, pla)
 	case runOrdered, runStopping:
 	}
 }
 
-// acknowledgeBefore handles the lowest end that a VM reports: this or a former
-// dispatcher has acknowledged all ends before it.
-func (hos *host) acknowledgeBefore(lowest int64) {
-	if lowest-1 <= hos.acked {
+// markAcknowledgedBefore records that all ends before the lowest one that a VM
+// reports have been acknowledged, by this or a former dispatcher.
+func (hos *host) markAcknowledgedBefore(lowest int64) {
+	if lowest-1 <= hos.ackableUpTo {
 		return
 	}
-	hos.acked = lowest - 1
-	maps.DeleteFunc(hos.stored, func(number int64, _ bool) bool { return number <= hos.acked })
+	hos.ackableUpTo = lowest - 1
+	maps.DeleteFunc(hos.ackable, func(number int64, _ bool) bool { return number <= hos.ackableUpTo })
 }
 
 // markAckable records that an end may be acknowledged, as nothing about it is
 // left to be stored.
 func (sta *State) markAckable(hos *host, number int64) {
-	if number <= hos.acked {
+	if number <= hos.ackableUpTo {
 		return
 	}
-	hos.stored[number] = true
-	for hos.stored[hos.acked+1] {
-		hos.acked++
-		delete(hos.stored, hos.acked)
+	hos.ackable[number] = true
+	for hos.ackable[hos.ackableUpTo+1] {
+		hos.ackableUpTo++
+		delete(hos.ackable, hos.ackableUpTo)
 		hos.ackDue = true
 	}
 }
@@ -343,7 +344,7 @@
 // expired.
 func (sta *State) expireLeases() {
 	for _, hos := range slices.Clone(sta.hostList) {
-		if hos.failedPolls == 0 && hos.fenced || sta.now.Before(hos.leaseExpiry) {
+		if hos.failedPolls == 0 && hos.termAccepted || sta.now.Before(hos.leaseExpiry) {
 			continue
 		}
 		if len(hos.runs) > 0 {
@@ -366,19 +367,19 @@
 	if !sta.formerLeasesMayHold() {
 		return false
 	}
-	if sta.machines.listed.Before(sta.opt.Since) {
+	if sta.machines.asOf.Before(sta.opt.Since) {
 		return true
 	}
 	for _, mac := range sta.machines.byName {
 		if mac.VM == "" || mac.State != worker.MachineUp {
 			continue
 		}
-		if hos := sta.hosts[mac.VM]; hos == nil || !hos.fenced {
+		if hos := sta.hosts[mac.VM]; hos == nil || !hos.termAccepted {
 			return true
 		}
 	}
 	for _, hos := range sta.hostList {
-		if !hos.fenced {
+		if !hos.termAccepted {
 			return true
 		}
 	}
--- a/internal/core/scheduler/jobs.go
+++ b/internal/core/scheduler/jobs.go
@@ -241,7 +241,7 @@
 		sta.updateRuntimeRatio(stg, started)
 		hos.failures = 0
 		sta.ackOnceStored(stg.liveJob, hos, end.Number)
-		sta.stopOtherRuns(stg, end.Task)
+		sta.stopOtherRun(stg, end.Task)
 		sta.markDone(stg, end.Task.Index)
 	case worker.EndFailed:
 		sta.taskFailed(stg, hos, end)
@@ -316,15 +316,15 @@
 	rat.add(sta.now.Sub(started).Seconds() / stg.step.Estimate.Seconds())
 }
 
-// stopOtherRuns stops another run of a task that is done.
-func (sta *State) stopOtherRuns(stg *stage, tas job.Task) {
+// stopOtherRun stops the run of a task that was done by another run.
+func (sta *State) stopOtherRun(stg *stage, tas job.Task) {
 	if hos := stg.tasks[tas.Index].host; hos != nil {
 		sta.stop(hos.runs[tas])
 	}
 }
 
-// endGang ends a gang with one of its members: if the member is done, the
-// whole gang is; otherwise the other members are stopped.
+// endGang handles the end of one member of a gang: if it is done, so is the whole
+// gang; otherwise the other members are stopped.
 func (sta *State) endGang(stg *stage, end worker.End) {
 	for i := range stg.tasks {
 		if end.Kind == worker.EndDone {
--- a/internal/core/scheduler/load.go
+++ b/internal/core/scheduler/load.go
@@ -67,9 +67,10 @@
 	return loa, true
 }
 
-// backlogs returns the time that each pool needs for the work of its jobs:
-// with its own machines or with its part of all machines, whichever is less,
-// as machines move to where work is.
+// backlogs returns the time that each pool needs for the work of its jobs. It is
+// the time in which the pool's own machines do that work, or that in which all
+// machines do the work of all pools, whichever is less, as machines move to
+// where work is.
 func (sta *State) backlogs() map[string]time.Duration {
 	remainingWork, cores := map[string]float64{}, map[string]float64{}
 	allWork, allCores := 0.0, 0.0
--- a/internal/core/scheduler/orders.go
+++ b/internal/core/scheduler/orders.go
@@ -17,10 +17,10 @@
 	unhealthyPause = time.Second
 )
 
-// stop marks a run to be stopped. The run takes up capacity until the VM
-// reports its end or has rejected it.
+// stop marks a run to be stopped. The run takes up capacity until the VM reports
+// its end, or has accepted the stop and no longer lists the run.
 func (sta *State) stop(pla *placement) {
-	if pla == nil || pla.state == runStopping || pla.state == runRejected {
+	if pla == nil || pla.state == runStopping || pla.state == runStopAccepted {
 		return
 	}
 	pla.state, pla.since, pla.stopSent = runStopping, sta.now, time.Time{}
@@ -29,11 +29,11 @@
 // sendStops sends the stops that are due.
 func (sta *State) sendStops() {
 	for _, hos := range sta.hostList {
-		if !hos.fenced {
+		if !hos.termAccepted {
 			continue
 		}
 		for _, pla := range hos.runList {
-			due := pla.state == runStopping || pla.state == runRejected && sta.now.Sub(pla.since) > stopRetryInterval+sta.opt.StopTime
+			due := pla.state == runStopping || pla.state == runStopAccepted && sta.now.Sub(pla.since) > stopRetryInterval+sta.opt.StopTime
 			if !due || pla.stopInFlight || sta.now.Sub(pla.stopSent) < stopRetryInterval {
 				continue
 			}
@@ -54,7 +54,7 @@
 	switch evt.Result {
 	case worker.ResultOK, worker.ResultOldRun:
 		if pla.state == runStopping {
-			pla.state, pla.since = runRejected, sta.now
+			pla.state, pla.since = runStopAccepted, sta.now
 			hos.nextPoll = sta.now
 		}
 	case worker.ResultFenced:
@@ -96,7 +96,8 @@
 	}
 }
 
-// startRefused handles that a VM did not start a run and will not do so later.
+// startRefused handles that a VM refused a start for good: it did not start the
+// run and will not do so later.
 func (sta *State) startRefused(hos *host, pla *placement, res worker.Result) {
 	stg, name := pla.stage, pla.task
 	switch res {
--- a/internal/core/scheduler/overload_test.go
+++ b/internal/core/scheduler/overload_test.go
@@ -74,8 +74,8 @@
 	step := func(cpu, memory int64, span time.Duration) job.Spec {
 		return job.Spec{Steps: []job.Step{{Count: 1, Size: job.Size{CPU: cpu, Memory: memory}, Estimate: span}}}
 	}
-	lasting := step(1, 1, 0)
-	lasting.Steps[0].LongRunning = true
+	longRunning := step(1, 1, 0)
+	longRunning.Steps[0].LongRunning = true
 	for _, tst := range []struct {
 		name  string
 		spec  job.Spec
@@ -85,7 +85,7 @@
 		{"worthless", step(1000, 900, time.Second), 7*time.Second - 2200*time.Millisecond},
 		{"fits the smaller", step(1000, 50_000, 2*time.Second), 0},
 		{"fits neither", step(9000, 50_000, 2*time.Second), oversizedRetry},
-		{"lasting", lasting, 0},
+		{"long-running", longRunning, 0},
 	} {
 		after, reason := loa.Admit(que, tst.spec)
 		assert.Equal(t, after, tst.after, tst.name)
--- a/internal/core/scheduler/pace.go
+++ b/internal/core/scheduler/pace.go
@@ -24,7 +24,8 @@
 	return ratio, serving && bestEffort
 }
 
-// controlPace sets the pace of a host's best-effort tasks after a poll.
+// controlPace sets the pace of a host's best-effort tasks after a poll. It rises
+// to full speed while no serving task runs beside them.
 func (sta *State) controlPace(hos *host) {
 	ratio, mixed := hos.tailRatio()
 	if !mixed {
--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/rebalance.go
@@ -15,20 +15,20 @@
 	// lateJobSpan is the time in which a pool should be able to finish a job
 	// that is late or almost late.
 	lateJobSpan = 700 * time.Millisecond
-	// usableTimeShare is the share of the time to a job's deadline that is
-	// planned with, as tasks do not fill it without gaps.
+	// usableTimeShare is the share of the time to a job's deadline in which its
+	// work is planned to end. The remainder allows for gaps between tasks.
 	usableTimeShare = 0.7
 	// leadTime is how far ahead arriving work is planned for.
 	leadTime = 500 * time.Millisecond
 	// rateWindow is the time constant of the average rate of arriving work.
 	rateWindow = 700 * time.Millisecond
-	// peakWindow is how long a pool keeps the machines of a peak.
+	// peakWindow is how long a pool keeps the machines of a peak of its demand.
 	peakWindow = 800 * time.Millisecond
 	// totalPeakWindow is how long all pools together keep the machines of a
 	// peak. Demand shifts between pools and returns within seconds.
 	totalPeakWindow = 20 * time.Second
-	// targetUtilization is the share of a machine that tasks fill before another
-	// machine is wanted, as their sizes do not fit without gaps.
+	// targetUtilization is the share of a machine's cores that is planned with, as
+	// the sizes of tasks do not fill a machine completely.
 	targetUtilization = 0.9
 	// minMachines is the minimum number of machines of a pool that is not on
 	// standby.
@@ -49,25 +49,25 @@
 	updated time.Time
 	// arrived is the work that has arrived since then, in core-seconds.
 	arrived float64
-	// peaks holds the recent numbers of wanted machines.
-	peaks []peak
+	// samples holds the recent numbers of wanted machines, oldest first.
+	samples []demandSample
 }
 
-// peak is the number of machines that were wanted at a time.
-type peak struct {
+// demandSample is the number of machines wanted at one time.
+type demandSample struct {
 	at   time.Time
 	want int
 }
 
-// want records the number of machines wanted now and returns the maximum
-// within the window.
-func (dem *demand) want(now time.Time, want int, within time.Duration) (keep int) {
-	dem.peaks = append(dem.peaks, peak{now, want})
-	for now.Sub(dem.peaks[0].at) > within {
-		dem.peaks = dem.peaks[1:]
+// recordWant records the number of machines wanted now, and returns the maximum
+// of the numbers recorded within the given time.
+func (dem *demand) recordWant(now time.Time, want int, within time.Duration) (keep int) {
+	dem.samples = append(dem.samples, demandSample{now, want})
+	for now.Sub(dem.samples[0].at) > within {
+		dem.samples = dem.samples[1:]
 	}
-	for _, pea := range dem.peaks {
-		keep = max(keep, pea.want)
+	for _, sam := range dem.samples {
+		keep = max(keep, sam.want)
 	}
 	return keep
 }
@@ -113,7 +113,7 @@
 
 // planMoves orders the moves of machines between pools.
 func (sta *State) planMoves() {
-	if sta.now.Sub(sta.movesPlannedAt) < movePlanInterval || sta.machines.listed.IsZero() {
+	if sta.now.Sub(sta.movesPlannedAt) < movePlanInterval || sta.machines.asOf.IsZero() {
 		return
 	}
 	if !sta.mayOrderMachines() {
@@ -144,7 +144,7 @@
 			want += poo.Want
 		}
 	}
-	most := sta.totalDemand.want(sta.now, want, totalPeakWindow)
+	most := sta.totalDemand.recordWant(sta.now, want, totalPeakWindow)
 	if sta.now.Sub(sta.opt.Since) < totalPeakWindow {
 		return 0
 	}
@@ -181,7 +181,7 @@
 		dem.average(sta.now)
 		cores, longRunningHosts, machineCores := 0.0, 0, 0.0
 		for _, hos := range sta.pools[poo.Name] {
-			if !hos.fenced && hos.failedPolls == 0 && !hos.vm.Leaving {
+			if !hos.termAccepted && hos.failedPolls == 0 && !hos.vm.Leaving {
 				rbp.Have++
 			}
 			if !hos.usable(sta.now) || sta.zonesOut[hos.vm.AZ] {
@@ -200,14 +200,15 @@
 		}
 		cores += neededCores[poo.Name] + dem.rate*leadTime.Seconds()
 		rbp.Want = max(minMachines, longRunningHosts, int(math.Ceil(cores/(sta.coresPerMachine(machineCores)*targetUtilization))))
-		rbp.Keep = dem.want(sta.now, rbp.Want, peakWindow)
+		rbp.Keep = dem.recordWant(sta.now, rbp.Want, peakWindow)
 		pools = append(pools, rbp)
 	}
 	return pools
 }
 
 // incoming counts, by pool, the machines that move there, and those that are
-// up without a registered VM.
+// up without a registered VM. It drops the moves that have ended or
+// timed out.
 func (sta *State) incoming() map[string]int {
 	counts := map[string]int{}
 	for _, mac := range sta.machines.byName {
@@ -256,8 +257,9 @@
 	return false
 }
 
-// coresPerMachine returns the given cores of a pool's largest machine or, if
-// the pool has none, those of the largest machine of all.
+// coresPerMachine returns the cores with which a machine counts towards a pool's
+// demand: cores, which is those of the pool's largest usable machine, or if that
+// is 0, those of the largest machine of all.
 func (sta *State) coresPerMachine(cores float64) float64 {
 	if cores > 0 {
 		return cores
@@ -320,7 +322,7 @@
 	case worker.MachineOK:
 		sta.machines.refreshDue = true
 		if hos != nil {
-			hos.downAnswered = sta.now
+			hos.downAnsweredAt = sta.now
 		}
 	case worker.MachineUnknown:
 		if hos != nil {
--- a/internal/core/scheduler/save.go
+++ b/internal/core/scheduler/save.go
@@ -160,7 +160,7 @@
 	sta.retryRecord(wri)
 }
 
-// retryRecord schedules another write of a job's record.
+// retryRecord schedules another write of a job's record, without saveDelay.
 func (sta *State) retryRecord(wri jobWrite) {
 	wri.liveJob.acks = append(wri.acks, wri.liveJob.acks...)
 	wri.liveJob.dirtySince = sta.now.Add(-saveDelay)
--- a/internal/core/scheduler/schedule_test.go
+++ b/internal/core/scheduler/schedule_test.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// TestUpkeepRelocatesSiblings checks that two tasks of a step of which only
-// one may be away leave a machine that is due for upkeep one after the other.
+// TestUpkeepRelocatesSiblings checks that two tasks of a step of which only one
+// may be unavailable leave a machine that is due for upkeep one after the other.
 func TestUpkeepRelocatesSiblings(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 2, 2, job.Size{CPU: 16_000, Memory: 32_768})
--- a/internal/core/scheduler/state.go
+++ b/internal/core/scheduler/state.go
@@ -40,9 +40,9 @@
 	MachineOrdersPerSecond float64
 }
 
-// runsPerTerm is the minimum distance between the run numbers of two terms. A
-// dispatcher that does not know the last run of its predecessor still uses a
-// higher one.
+// runsPerTerm is the difference between the first run numbers of two consecutive
+// terms. A dispatcher that does not know the last run of its predecessor still
+// uses a higher one.
 const runsPerTerm = 1000
 
 // phase is the state of a task.
@@ -86,7 +86,7 @@
 	advice        advice
 }
 
-// task returns the name of the stage's task with an index.
+// task returns the identifier of the stage's task with the given index.
 func (stg *stage) task(index int) job.Task {
 	return job.Task{Job: stg.liveJob.spec.ID, Occurrence: stg.occ, Step: stg.index, Index: index}
 }
@@ -107,7 +107,8 @@
 	// occsLeft counts the occurrences that have not ended.
 	occsLeft int
 	deadline time.Time
-	work     float64
+	// work is the estimated work of one occurrence, in core-seconds.
+	work float64
 	// pool is the pool of the job's queue, as last configured. It is kept when
 	// the queue is removed from the configuration.
 	pool      string
@@ -124,8 +125,8 @@
 	progressRev kv.Revision
 	// acks lists the ends to acknowledge once the job's next record is stored.
 	acks []ack
-	// restored reports whether a former dispatcher may have started tasks of the
-	// job.
+	// restored reports whether the job was stored before the tenure began, so
+	// that a former dispatcher may have started tasks of it.
 	restored bool
 }
 
@@ -149,9 +150,10 @@
 	// runStopping is the state of a run that is to be stopped; the VM may not
 	// have answered yet.
 	runStopping
-	// runRejected is the state of a run that the VM has stopped or will reject
-	// if its start arrives later.
-	runRejected
+	// runStopAccepted is the state of a run after the VM has accepted its stop.
+	// The VM ends the run if it is active, and rejects its start if that arrives
+	// later. The run is over once a report no longer lists it.
+	runStopAccepted
 )
 
 // placement is a run that may be active on a VM. It takes up capacity there
@@ -189,8 +191,9 @@
 	vm worker.VM
 	// firstSeen is when the VM's registration was first received.
 	firstSeen time.Time
-	// fenced reports whether the VM has answered a poll of this term.
-	fenced bool
+	// termAccepted reports whether the VM has answered a poll of this term, and so
+	// refuses the orders of former dispatchers.
+	termAccepted bool
 	// clock is the VM's clock at the time clockAt.
 	clock   time.Duration
 	clockAt time.Time
@@ -207,12 +210,12 @@
 	nextPoll     time.Time
 	// failedPolls counts the consecutive polls without an answer.
 	failedPolls int
-	// lastEnd is the highest end number that was processed. acked is the number
-	// up to which all ends may be acknowledged. stored holds the higher ends
-	// that may be acknowledged too.
-	lastEnd, acked int64
-	stored         map[int64]bool
-	// ackDue reports whether acked has risen since the last poll.
+	// lastEnd is the highest end number that was processed. ackableUpTo is the
+	// number up to which all ends may be acknowledged. ackable holds the higher
+	// ends that may be acknowledged once those between may be.
+	lastEnd, ackableUpTo int64
+	ackable              map[int64]bool
+	// ackDue reports whether ackableUpTo has risen since the last poll.
 	ackDue bool
 	// reportDue reports whether the VM's runs differ from the recorded ones: it
 	// refused a task that should fit.
@@ -225,23 +228,25 @@
 	// goingDown reports whether the upkeep or the move of the machine has been
 	// ordered.
 	goingDown bool
-	// downAnswered is when that order was answered. Only the list of machines
-	// shows whether it had an effect: an order that was carried out before has
-	// none.
-	downAnswered time.Time
+	// downAnsweredAt is when the call with that order ended. Its answer does not
+	// show whether the machine goes down, as an order that repeats an earlier one
+	// is accepted without effect. A list of machines requested later does.
+	downAnsweredAt time.Time
 	// quarantinedUntil is when the VM gets new tasks again after failed runs or
 	// a refused order.
 	quarantinedUntil time.Time
 	// idleSince is when the last run was released.
 	idleSince time.Time
-	failures  int
+	// failures counts the consecutive failed runs on the VM.
+	failures int
 	// pace controls the pace of the best-effort tasks on the VM.
 	pace pace.Control
 }
 
-// usable reports whether new tasks may start on the VM.
+// usable reports whether new tasks may start on the VM, unless its availability
+// zone is out of service.
 func (hos *host) usable(now time.Time) bool {
-	return hos.fenced && !hos.unregistered && !hos.vm.Leaving && !hos.cordoned && !hos.goingDown && hos.failedPolls == 0 && !now.Before(hos.quarantinedUntil) && !hos.hasOrphanRuns()
+	return hos.termAccepted && !hos.unregistered && !hos.vm.Leaving && !hos.cordoned && !hos.goingDown && hos.failedPolls == 0 && !now.Before(hos.quarantinedUntil) && !hos.hasOrphanRuns()
 }
 
 // hasOrphanRuns reports whether the VM holds runs of unknown jobs. The
@@ -266,7 +271,7 @@
 	// pools holds the hosts of each pool in the order of their IDs.
 	pools map[string][]*host
 	// usage is, by client account, the size of the runs that may be active.
-	// allowances holds the accounts' token buckets for new jobs.
+	// allowances holds the leaky buckets that meter the accounts' new jobs.
 	usage      map[string]job.Size
 	allowances map[string]allowance.Bucket
 	machines   machines
@@ -312,10 +317,10 @@
 type machines struct {
 	byName map[string]worker.Machine
 	byVM   map[string]string
-	// requestedAt is when a list was last requested. listed is when the last
-	// list received was requested.
-	requestedAt, listed time.Time
-	inFlight            bool
+	// requestedAt is when a list was last requested. asOf is when the last list
+	// received was requested; zero if none was received.
+	requestedAt, asOf time.Time
+	inFlight          bool
 	// refreshDue reports whether a new list is needed to see the effect of an
 	// order.
 	refreshDue bool
--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -43,7 +43,7 @@
 	}
 	for _, number := range slices.Sorted(maps.Keys(sta.waves)) {
 		wav := sta.waves[number]
-		if !wav.completed && !sta.machines.listed.IsZero() {
+		if !wav.completed && !sta.machines.asOf.IsZero() {
 			sta.planWave(number, wav)
 		}
 	}
@@ -105,7 +105,7 @@
 	if sta.opt.Term == 1 {
 		return true
 	}
-	if sta.machines.listed.Before(sta.opt.Since.Add(machineOrderDelay)) {
+	if sta.machines.asOf.Before(sta.opt.Since.Add(machineOrderDelay)) {
 		sta.machines.refreshDue = !sta.now.Before(sta.opt.Since.Add(machineOrderDelay))
 		return false
 	}
@@ -128,7 +128,7 @@
 	for name, dow := range wav.down {
 		mac, ok := sta.machines.byName[name]
 		back := mac.State == worker.MachineUp && mac.VM != dow.vm
-		if !ok || back && sta.machines.listed.After(dow.since) {
+		if !ok || back && sta.machines.asOf.After(dow.since) {
 			delete(wav.down, name)
 		}
 	}
@@ -150,7 +150,7 @@
 	if hos == nil {
 		return can
 	}
-	if hos.vm.Leaving || hos.failedPolls > 0 || !hos.fenced {
+	if hos.vm.Leaving || hos.failedPolls > 0 || !hos.termAccepted {
 		can.Up = false
 		return can
 	}
@@ -175,6 +175,8 @@
 		left := stg.step.Estimate - sta.now.Sub(pla.since)
 		can.Remaining = max(can.Remaining, left)
 		can.LostWork += stg.step.Size.Cores() * sta.now.Sub(pla.since).Seconds()
+		// A machine without work to lose may go down at once, so a run that has
+		// just started must count as well.
 		if can.LostWork == 0 {
 			can.LostWork = stg.step.Size.Cores()
 		}
@@ -189,7 +191,8 @@
 }
 
 // relocate stops, for each long-running step with more tasks on a machine than
-// may be away at once, one of these tasks. It starts again on another machine.
+// may be unavailable at the same time, one of these tasks. It starts again on
+// another machine.
 func (sta *State) relocate(name string) {
 	hos := sta.hosts[sta.machines.byName[name].VM]
 	done := map[*stage]bool{}
@@ -208,10 +211,10 @@
 	}
 }
 
-// working reports whether the run is at work and not being stopped.
+// working reports whether a long-running task is working and not being stopped.
 func (pla *placement) working() bool { return pla.state == runRunning && pla.percent >= percentWorking }
 
-// working returns the number of a stage's tasks that are at work on the host.
+// working returns the number of a stage's tasks that are working on the host.
 func (hos *host) working(stg *stage) int {
 	n := 0
 	for _, pla := range hos.runList {
@@ -223,17 +226,18 @@
 }
 
 // percentWorking is the progress that a long-running task reports when it is
-// at work.
+// working.
 const percentWorking = 100
 
-// countUnavailable returns the number of tasks of a long-running stage that
-// are not at work. Tasks at work on the host except are not counted, even if
-// that host is going down.
-func (stg *stage) countUnavailable(except *host) int {
+// countUnavailable returns the number of tasks of a long-running stage that are
+// not working, or whose host does not answer or is going down. A task on the host
+// local is counted only if it is not working, as the caller considers the end of
+// that host separately.
+func (stg *stage) countUnavailable(local *host) int {
 	n := 0
 	for i := range stg.tasks {
 		hos := stg.tasks[i].host
-		if hos == except {
+		if hos == local {
 			name := stg.task(i)
 			if pla := hos.runs[name]; pla != nil && !pla.working() {
 				n++
@@ -280,16 +284,17 @@
 	wav.down[evt.Machine] = downMachine{vm: vm, since: sta.now}
 	sta.emit(SaveWave{Number: evt.Wave, Begun: wav.begun()})
 	if hos := sta.hosts[vm]; hos != nil {
-		hos.downAnswered = sta.now
+		hos.downAnsweredAt = sta.now
 		sta.machines.refreshDue = true
 	}
 }
 
 // machineOrderFailed handles that an order for a host's machine was refused or
-// is unanswered.
+// got no valid answer. In the latter case only a list of machines shows whether
+// it was carried out.
 func (sta *State) machineOrderFailed(hos *host, res worker.MachineResult) {
 	if res == worker.MachineUnknown {
-		hos.downAnswered = sta.now
+		hos.downAnsweredAt = sta.now
 		sta.machines.refreshDue = true
 		return
 	}
@@ -303,7 +308,7 @@
 	if evt.Machines == nil {
 		return
 	}
-	sta.machines.listed = evt.RequestedAt
+	sta.machines.asOf = evt.RequestedAt
 	sta.machines.byName = make(map[string]worker.Machine, len(evt.Machines))
 	sta.machines.byVM = make(map[string]string, len(evt.Machines))
 	for _, mac := range evt.Machines {
@@ -323,18 +328,18 @@
 func (sta *State) applyListing(hos *host, requestedAt time.Time) {
 	name, ok := sta.machines.byVM[hos.vm.ID]
 	mac := sta.machines.byName[name]
-	ordered := hos.goingDown && !hos.downAnswered.IsZero() && requestedAt.After(hos.downAnswered)
+	ordered := hos.goingDown && !hos.downAnsweredAt.IsZero() && requestedAt.After(hos.downAnsweredAt)
 	switch {
 	case ordered && ok && mac.State == worker.MachineUp:
 		sta.logDecision("order_without_effect", "", map[string]any{"machine": name, "vm": hos.vm.ID})
-		hos.goingDown, hos.downAnswered = false, time.Time{}
+		hos.goingDown, hos.downAnsweredAt = false, time.Time{}
 		delete(sta.moves, name)
 		for _, wav := range sta.waves {
 			delete(wav.down, name)
 		}
 	case ordered:
 		sta.removeHost(hos, "the machine went down as ordered")
-	case (!ok || mac.State != worker.MachineUp) && !hos.fenced && !requestedAt.Before(hos.firstSeen):
+	case (!ok || mac.State != worker.MachineUp) && !hos.termAccepted && !requestedAt.Before(hos.firstSeen):
 		// Registrations outlast a VM by some seconds.
 		sta.removeHost(hos, "no listed machine runs this VM")
 	case hos.failedPolls > 0 && (!ok || mac.State == worker.MachineDown):
@@ -345,7 +350,7 @@
 // listMachines requests the list of machines if it is due.
 func (sta *State) listMachines() {
 	pause := idleListInterval
-	if sta.formerLeasesMayHold() && sta.machines.listed.Before(sta.opt.Since) {
+	if sta.formerLeasesMayHold() && sta.machines.asOf.Before(sta.opt.Since) {
 		pause = 0
 	}
 	for _, wav := range sta.waves {
