--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -144,15 +144,15 @@
 	cal.submissions = append(cal.submissions, submission{key: key, taskID: tsk.ID, repeatable: repeatable})
 }
 
-func (cal *callers) task(method, address, key, payload string) (tsk runner.Task, status int, err error) {
+func (cal *callers) task(method, address, key, payload string) (tsk runner.TaskResponse, status int, err error) {
 	req, err := http.NewRequest(method, address, bytes.NewReader([]byte(payload)))
 	if err != nil {
-		return runner.Task{}, 0, err
+		return runner.TaskResponse{}, 0, err
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	rsp, err := cal.http.Do(req)
 	if err != nil {
-		return runner.Task{}, 0, err
+		return runner.TaskResponse{}, 0, err
 	}
 	defer func() { _ = rsp.Body.Close() }()
 	return tsk, rsp.StatusCode, json.NewDecoder(rsp.Body).Decode(&tsk)
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -21,8 +21,8 @@
 // ReadyPath is what the balancer asks on the callers' listener.
 const ReadyPath = "/-/ready"
 
-// Task is how a task is told to its submitter.
-type Task struct {
+// TaskResponse is how a task is told to its submitter.
+type TaskResponse struct {
 	Outcome outcome.Outcome `json:"outcome"`
 	ID      string          `json:"id"`
 	Queue   string          `json:"queue,omitempty"`
@@ -157,10 +157,10 @@
 	case exchange.Refusal:
 		writeRefusal(wrt, rep.Refusal)
 	case exchange.Accepted:
-		writeOutcome(wrt, http.StatusAccepted, outcome.Accepted, Task{Outcome: outcome.Accepted, ID: rep.TaskID})
+		writeOutcome(wrt, http.StatusAccepted, outcome.Accepted, TaskResponse{Outcome: outcome.Accepted, ID: rep.TaskID})
 	case exchange.Told:
 		sts := rep.Status
-		writeOutcome(wrt, http.StatusOK, outcome.Answered, Task{
+		writeOutcome(wrt, http.StatusOK, outcome.Answered, TaskResponse{
 			Outcome: outcome.Answered, ID: sts.ID, Queue: sts.Queue, State: string(sts.State),
 			Attempt: sts.Attempt, Result: sts.Result, Reason: sts.Reason,
 		})
