--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -29,8 +29,8 @@
 // Accepted means that a task is in the store.
 type Accepted struct{ TaskID string }
 
-// Told is the status of a task.
-type Told struct{ Status task.Status }
+// TaskStatus is the status of a task.
+type TaskStatus struct{ Status task.Status }
 
 // Changed answers an operator's change.
 type Changed struct{ Answer effect.ReplyChange }
@@ -38,12 +38,12 @@
 // Reported is an entry's status.
 type Reported struct{ Status effect.Status }
 
-func (Answer) isReply()   {}
-func (Refusal) isReply()  {}
-func (Accepted) isReply() {}
-func (Told) isReply()     {}
-func (Changed) isReply()  {}
-func (Reported) isReply() {}
+func (Answer) isReply()     {}
+func (Refusal) isReply()    {}
+func (Accepted) isReply()   {}
+func (TaskStatus) isReply() {}
+func (Changed) isReply()    {}
+func (Reported) isReply()   {}
 
 // Request is what an upstream needs of a caller's request.
 type Request struct {
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -158,7 +158,7 @@
 		writeRefusal(wrt, rep.Refusal)
 	case exchange.Accepted:
 		writeOutcome(wrt, http.StatusAccepted, outcome.Accepted, TaskResponse{Outcome: outcome.Accepted, ID: rep.TaskID})
-	case exchange.Told:
+	case exchange.TaskStatus:
 		sts := rep.Status
 		writeOutcome(wrt, http.StatusOK, outcome.Answered, TaskResponse{
 			Outcome: outcome.Answered, ID: sts.ID, Queue: sts.Queue, State: string(sts.State),
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -59,7 +59,7 @@
 	case effect.AcceptTask:
 		rnr.exchanges.Finish(eff.Request, exchange.Accepted{TaskID: eff.TaskID})
 	case effect.ReplyTaskStatus:
-		rnr.exchanges.Finish(eff.Request, exchange.Told{Status: eff.Status})
+		rnr.exchanges.Finish(eff.Request, exchange.TaskStatus{Status: eff.Status})
 	case effect.ReplyChange:
 		rnr.exchanges.Finish(eff.Request, exchange.Changed{Answer: eff})
 	case effect.ReplyStatus:
