--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -32,18 +32,18 @@
 // TaskStatus is the status of a task.
 type TaskStatus struct{ Status task.Status }
 
-// Changed answers an operator's change.
-type Changed struct{ Answer effect.ReplyChange }
+// ChangeResult answers an operator's change.
+type ChangeResult struct{ Answer effect.ReplyChange }
 
 // Reported is an entry's status.
 type Reported struct{ Status effect.Status }
 
-func (Answer) isReply()     {}
-func (Refusal) isReply()    {}
-func (Accepted) isReply()   {}
-func (TaskStatus) isReply() {}
-func (Changed) isReply()    {}
-func (Reported) isReply()   {}
+func (Answer) isReply()       {}
+func (Refusal) isReply()      {}
+func (Accepted) isReply()     {}
+func (TaskStatus) isReply()   {}
+func (ChangeResult) isReply() {}
+func (Reported) isReply()     {}
 
 // Request is what an upstream needs of a caller's request.
 type Request struct {
--- a/internal/runner/operators.go
+++ b/internal/runner/operators.go
@@ -166,7 +166,7 @@
 func (rnr *Runner) change(wrt http.ResponseWriter, req *http.Request, chg table.Change, base int64, secret string) {
 	exc := rnr.exchanges.Open(exchange.Request{})
 	rnr.Post(event.ChangeRequested{Request: exc.ID, Change: chg, Base: base})
-	rep, ok := rnr.wait(req, exc).(exchange.Changed)
+	rep, ok := rnr.wait(req, exc).(exchange.ChangeResult)
 	if !ok {
 		return
 	}
