--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -33,7 +33,7 @@
 type TaskStatus struct{ Status task.Status }
 
 // ChangeResult answers an operator's change.
-type ChangeResult struct{ Answer effect.ReplyChange }
+type ChangeResult struct{ Result effect.ReplyChange }
 
 // Reported is an entry's status.
 type Reported struct{ Status effect.Status }
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -61,7 +61,7 @@
 	case effect.ReplyTaskStatus:
 		rnr.exchanges.Finish(eff.Request, exchange.TaskStatus{Status: eff.Status})
 	case effect.ReplyChange:
-		rnr.exchanges.Finish(eff.Request, exchange.ChangeResult{Answer: eff})
+		rnr.exchanges.Finish(eff.Request, exchange.ChangeResult{Result: eff})
 	case effect.ReplyStatus:
 		rnr.exchanges.Finish(eff.Request, exchange.Reported{Status: eff.Status})
 	}
--- a/internal/runner/operators.go
+++ b/internal/runner/operators.go
@@ -170,7 +170,7 @@
 	if !ok {
 		return
 	}
-	ans := rep.Answer
+	ans := rep.Result
 	rsp := ChangeResponse{Accepted: ans.Accepted, Revision: ans.Revision, Code: ans.Code, Message: ans.Message}
 	status := http.StatusOK
 	if ans.Accepted {
