--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -35,15 +35,15 @@
 // ChangeResult answers an operator's change.
 type ChangeResult struct{ Result effect.ReplyChange }
 
-// Reported is an entry's status.
-type Reported struct{ Status effect.Status }
+// EntryStatus is an entry's status.
+type EntryStatus struct{ Status effect.Status }
 
 func (Answer) isReply()       {}
 func (Refusal) isReply()      {}
 func (Accepted) isReply()     {}
 func (TaskStatus) isReply()   {}
 func (ChangeResult) isReply() {}
-func (Reported) isReply()     {}
+func (EntryStatus) isReply()  {}
 
 // Request is what an upstream needs of a caller's request.
 type Request struct {
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -63,7 +63,7 @@
 	case effect.ReplyChange:
 		rnr.exchanges.Finish(eff.Request, exchange.ChangeResult{Result: eff})
 	case effect.ReplyStatus:
-		rnr.exchanges.Finish(eff.Request, exchange.Reported{Status: eff.Status})
+		rnr.exchanges.Finish(eff.Request, exchange.EntryStatus{Status: eff.Status})
 	}
 }
 
--- a/internal/runner/operators.go
+++ b/internal/runner/operators.go
@@ -94,7 +94,7 @@
 func (rnr *Runner) serveStatus(wrt http.ResponseWriter, req *http.Request) {
 	exc := rnr.exchanges.Open(exchange.Request{})
 	rnr.Post(event.StatusRequested{Request: exc.ID})
-	if rep, ok := rnr.wait(req, exc).(exchange.Reported); ok {
+	if rep, ok := rnr.wait(req, exc).(exchange.EntryStatus); ok {
 		writeJSON(wrt, http.StatusOK, rep.Status)
 	}
 }
