--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -64,7 +64,7 @@
 // Result is how an attempt ended.
 type Result struct {
 	Kind    event.AttemptResult
-	Answer  exchange.Answer
+	Answer  exchange.Response
 	Leaving bool
 	Reason  string
 }
@@ -187,7 +187,7 @@
 	}
 	return Result{
 		Kind:    event.AttemptAnswered,
-		Answer:  exchange.Answer{Status: hrs.StatusCode, Header: hrs.Header.Clone(), Body: body},
+		Answer:  exchange.Response{Status: hrs.StatusCode, Header: hrs.Header.Clone(), Body: body},
 		Leaving: leaving,
 	}
 }
