--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -67,8 +67,8 @@
 // Reply returns the channel on which the one reply comes.
 func (exc *Exchange) Reply() <-chan Reply { return exc.reply }
 
-// SetAnswer keeps the answer of an attempt.
-func (exc *Exchange) SetAnswer(attempt int, ans Response) {
+// SetResponse keeps the answer of an attempt.
+func (exc *Exchange) SetResponse(attempt int, ans Response) {
 	exc.mu.Lock()
 	defer exc.mu.Unlock()
 	exc.answers[attempt] = ans
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -93,7 +93,7 @@
 			VM: eff.VM, Address: eff.Address, Request: exc.Request, Repeatable: eff.Repeatable,
 		})
 		if res.Kind == event.AttemptAnswered {
-			exc.SetAnswer(eff.Attempt, res.Answer)
+			exc.SetResponse(eff.Attempt, res.Answer)
 		}
 		rnr.Post(event.AttemptEnded{
 			Work: eff.Work, Attempt: eff.Attempt, Result: res.Kind,
