--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -74,8 +74,8 @@
 	exc.answers[attempt] = ans
 }
 
-// AnswerOf returns the answer of an attempt.
-func (exc *Exchange) AnswerOf(attempt int) (ans Response, ok bool) {
+// ResponseOf returns the answer of an attempt.
+func (exc *Exchange) ResponseOf(attempt int) (ans Response, ok bool) {
 	exc.mu.Lock()
 	defer exc.mu.Unlock()
 	ans, ok = exc.answers[attempt]
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -117,7 +117,7 @@
 	if !ok {
 		return
 	}
-	if ans, ok := exc.AnswerOf(eff.Attempt); ok {
+	if ans, ok := exc.ResponseOf(eff.Attempt); ok {
 		rnr.exchanges.Finish(eff.Request, ans)
 	}
 }
