--- a/internal/netfail/netfail.go
+++ b/internal/netfail/netfail.go
@@ -6,9 +6,9 @@
 	"net"
 )
 
-// IsRefused reports whether a call failed before there was a connection, so
+// IsDialError reports whether a call failed before there was a connection, so
 // that no byte of it can have arrived.
-func IsRefused(err error) bool {
+func IsDialError(err error) bool {
 	var opErr *net.OpError
 	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -86,7 +86,7 @@
 	switch {
 	case err != nil:
 		end.Reason = err.Error()
-		end.Refused = netfail.IsRefused(err)
+		end.Refused = netfail.IsDialError(err)
 	case status == http.StatusOK:
 		end.Accepted = true
 	default:
