--- a/internal/peerlink/links.go
+++ b/internal/peerlink/links.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// Want replaces the addresses to keep connected. Beside them, the links dial
+// SetAddresses replaces the addresses to keep connected. Beside them, the links dial
 // back every peer whose connection they have accepted.
-func (lks *Links) Want(ctx context.Context, addresses []string) {
+func (lks *Links) SetAddresses(ctx context.Context, addresses []string) {
 	lks.mu.Lock()
 	defer lks.mu.Unlock()
 	lks.ctx = ctx
--- a/internal/peerlink/links_test.go
+++ b/internal/peerlink/links_test.go
@@ -48,7 +48,7 @@
 func (side *end) want(t *testing.T, addresses ...string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	side.links.Want(ctx, addresses)
+	side.links.SetAddresses(ctx, addresses)
 }
 
 // count returns how many events a condition holds of.
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -127,7 +127,7 @@
 	for _, vtr := range voters {
 		addresses = append(addresses, vtr.Address)
 	}
-	rnr.links.Want(rnr.calls, addresses)
+	rnr.links.SetAddresses(rnr.calls, addresses)
 }
 
 func (rnr *Runner) setReady(ready bool) {
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -186,7 +186,7 @@
 	grp.Add(func() error { return rnr.links.Serve(rnr.PeerListener) }, func(error) { _ = rnr.PeerListener.Close() })
 	grp.Add(func() error { return rnr.listVMs(ctx) }, func(error) { cancel() })
 	grp.Add(func() error { return rnr.watchConfig(ctx) }, func(error) { cancel() })
-	rnr.links.Want(ctx, rnr.set.Peers)
+	rnr.links.SetAddresses(ctx, rnr.set.Peers)
 	err := grp.Run()
 	rnr.endCalls()
 	select {
