--- a/internal/peerlink/frame.go
+++ b/internal/peerlink/frame.go
@@ -15,9 +15,9 @@
 const (
 	headerBytes = 12
 	stampBytes  = 8
-	// MaxPayload bounds a payload. A configuration of the size that the store
+	// MaxPayloadBytes bounds a payload. A configuration of the size that the store
 	// can hold fits.
-	MaxPayload = 1 << 20
+	MaxPayloadBytes = 1 << 20
 	// maxHello bounds the greeting.
 	maxHello = 4 << 10
 )
@@ -37,8 +37,8 @@
 }
 
 func writeFrame(out io.Writer, stm timeline.Stamp, payload []byte) error {
-	if len(payload) > MaxPayload {
-		return fmt.Errorf("payload of %d bytes is larger than %d", len(payload), MaxPayload)
+	if len(payload) > MaxPayloadBytes {
+		return fmt.Errorf("payload of %d bytes is larger than %d", len(payload), MaxPayloadBytes)
 	}
 	frame := make([]byte, headerBytes, headerBytes+len(payload))
 	binary.BigEndian.PutUint32(frame, uint32(stampBytes+len(payload)))
--- a/internal/peerlink/incoming.go
+++ b/internal/peerlink/incoming.go
@@ -66,7 +66,7 @@
 		if err := conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
 			return err
 		}
-		stm, payload, err := readFrame(conn, MaxPayload)
+		stm, payload, err := readFrame(conn, MaxPayloadBytes)
 		if err != nil {
 			return err
 		}
