--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -297,7 +297,7 @@
 			for _, one := range vms {
 				kept[one.ID] = true
 			}
-			rnr.upstream.Keep(kept)
+			rnr.upstream.RetainOnly(kept)
 		case err != nil && ctx.Err() == nil:
 			rnr.part("platform").WithError(err).Debug("The list of VMs could not be read.")
 		}
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -210,8 +210,8 @@
 	return tgt
 }
 
-// Keep drops what is kept for VMs other than those given.
-func (cli *Client) Keep(vms map[string]bool) {
+// RetainOnly drops what is kept for VMs other than those given.
+func (cli *Client) RetainOnly(vms map[string]bool) {
 	cli.mu.Lock()
 	defer cli.mu.Unlock()
 	for vmID, tgt := range cli.vms {
