--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -16,8 +16,8 @@
 // Changed and Reported.
 type Reply interface{ isReply() }
 
-// Response is the whole answer of an upstream.
-type Response struct {
+// HTTPResponse is the whole answer of an upstream.
+type HTTPResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
@@ -38,7 +38,7 @@
 // EntryStatus is an entry's status.
 type EntryStatus struct{ Status effect.Status }
 
-func (Response) isReply()     {}
+func (HTTPResponse) isReply() {}
 func (Refusal) isReply()      {}
 func (Accepted) isReply()     {}
 func (TaskStatus) isReply()   {}
@@ -61,21 +61,21 @@
 	reply   chan Reply
 
 	mu      sync.Mutex
-	answers map[int]Response
+	answers map[int]HTTPResponse
 }
 
 // Reply returns the channel on which the one reply comes.
 func (exc *Exchange) Reply() <-chan Reply { return exc.reply }
 
 // SetResponse keeps the answer of an attempt.
-func (exc *Exchange) SetResponse(attempt int, ans Response) {
+func (exc *Exchange) SetResponse(attempt int, ans HTTPResponse) {
 	exc.mu.Lock()
 	defer exc.mu.Unlock()
 	exc.answers[attempt] = ans
 }
 
 // ResponseOf returns the answer of an attempt.
-func (exc *Exchange) ResponseOf(attempt int) (ans Response, ok bool) {
+func (exc *Exchange) ResponseOf(attempt int) (ans HTTPResponse, ok bool) {
 	exc.mu.Lock()
 	defer exc.mu.Unlock()
 	ans, ok = exc.answers[attempt]
@@ -99,7 +99,7 @@
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
 	tab.next++
-	exc := &Exchange{ID: tab.next, Request: req, reply: make(chan Reply, 1), answers: map[int]Response{}}
+	exc := &Exchange{ID: tab.next, Request: req, reply: make(chan Reply, 1), answers: map[int]HTTPResponse{}}
 	tab.open[exc.ID] = exc
 	return exc
 }
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -152,7 +152,7 @@
 
 func writeReply(wrt http.ResponseWriter, rep exchange.Reply) {
 	switch rep := rep.(type) {
-	case exchange.Response:
+	case exchange.HTTPResponse:
 		writeAnswer(wrt, rep)
 	case exchange.Refusal:
 		writeRefusal(wrt, rep.Refusal)
@@ -167,7 +167,7 @@
 	}
 }
 
-func writeAnswer(wrt http.ResponseWriter, ans exchange.Response) {
+func writeAnswer(wrt http.ResponseWriter, ans exchange.HTTPResponse) {
 	for name, values := range ans.Header {
 		switch name {
 		case "Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer":
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -64,7 +64,7 @@
 // Result is how an attempt ended.
 type Result struct {
 	Kind     event.AttemptResult
-	Response exchange.Response
+	Response exchange.HTTPResponse
 	Leaving  bool
 	Reason   string
 }
@@ -187,7 +187,7 @@
 	}
 	return Result{
 		Kind:     event.AttemptAnswered,
-		Response: exchange.Response{Status: hrs.StatusCode, Header: hrs.Header.Clone(), Body: body},
+		Response: exchange.HTTPResponse{Status: hrs.StatusCode, Header: hrs.Header.Clone(), Body: body},
 		Leaving:  leaving,
 	}
 }
