--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -93,11 +93,11 @@
 			VM: eff.VM, Address: eff.Address, Request: exc.Request, Repeatable: eff.Repeatable,
 		})
 		if res.Kind == event.AttemptAnswered {
-			exc.SetResponse(eff.Attempt, res.Response)
+			exc.SetResponse(eff.Attempt, res.HTTPResponse)
 		}
 		rnr.Post(event.AttemptEnded{
 			Work: eff.Work, Attempt: eff.Attempt, Result: res.Kind,
-			Status: res.Response.Status, Leaving: res.Leaving, Reason: res.Reason,
+			Status: res.HTTPResponse.Status, Leaving: res.Leaving, Reason: res.Reason,
 		})
 	}()
 }
--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -63,10 +63,10 @@
 
 // Result is how an attempt ended.
 type Result struct {
-	Kind     event.AttemptResult
-	Response exchange.HTTPResponse
-	Leaving  bool
-	Reason   string
+	Kind         event.AttemptResult
+	HTTPResponse exchange.HTTPResponse
+	Leaving      bool
+	Reason       string
 }
 
 // Do makes an attempt. It returns when the whole answer is there, the attempt
@@ -186,9 +186,9 @@
 		return Result{Kind: event.AttemptUnknown, Leaving: leaving, Reason: fmt.Sprintf("answer not whole: %v", err)}
 	}
 	return Result{
-		Kind:     event.AttemptAnswered,
-		Response: exchange.HTTPResponse{Status: hrs.StatusCode, Header: hrs.Header.Clone(), Body: body},
-		Leaving:  leaving,
+		Kind:         event.AttemptAnswered,
+		HTTPResponse: exchange.HTTPResponse{Status: hrs.StatusCode, Header: hrs.Header.Clone(), Body: body},
+		Leaving:      leaving,
 	}
 }
 
