--- a/internal/runner/answers_test.go
+++ b/internal/runner/answers_test.go
@@ -25,7 +25,7 @@
 
 const credential = "operators"
 
-// request returns a route for requests to the pool of executors.
+// request returns a route of kind request to the executors pool.
 func request(name, path string, deadline time.Duration) table.Route {
 	return table.Route{
 		Name: name, Kind: table.KindRequest, Path: path, Pool: "executors", Urgency: table.UrgencyNormal,
@@ -54,8 +54,8 @@
 	}
 }
 
-// bench is one entry with the stand-ins.
-type bench struct {
+// fixture is one entry with simulated store, platform, executors and workers.
+type fixture struct {
 	t      *testing.T
 	fleet  *fleet.Fleet
 	runner *runner.Runner
@@ -63,7 +63,7 @@
 	keys   map[string]string
 }
 
-func newBench(t *testing.T) *bench {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	const anyPort = "127.0.0.1:0"
 	fle, err := fleet.Start(fleet.Options{StoreAddress: anyPort, ListAddress: anyPort, Pools: tables().Pools})
@@ -80,42 +80,43 @@
 	done := make(chan struct{})
 	go func() { _ = rnr.Run(); close(done) }()
 	t.Cleanup(func() { rnr.Kill(); <-done })
-	ben := &bench{t: t, fleet: fle, runner: rnr, keys: map[string]string{"wrong": "bgk_wrong", "none": ""}}
-	ben.admin = adminclient.New(rnr.AdminListener.Addr().String(), credential)
-	ben.prepare()
-	return ben
+	fix := &fixture{t: t, fleet: fle, runner: rnr, keys: map[string]string{"wrong": "bgk_wrong", "none": ""}}
+	fix.admin = adminclient.New(rnr.AdminListener.Addr().String(), credential)
+	fix.prepare()
+	return fix
 }
 
-func (ben *bench) prepare() {
-	ben.t.Helper()
+func (fix *fixture) prepare() {
+	fix.t.Helper()
 	ctx := context.Background()
-	ben.await(func() bool { sts, err := ben.admin.Status(ctx); return err == nil && sts.Voting })
-	_, err := ben.admin.Apply(ctx, tables(), 0)
-	assert.NilError(ben.t, err)
+	fix.await(func() bool { sts, err := fix.admin.Status(ctx); return err == nil && sts.Voting })
+	_, err := fix.admin.Apply(ctx, tables(), 0)
+	assert.NilError(fix.t, err)
 	for _, team := range []string{"one", "two"} {
-		rsp, err := ben.admin.Grant(ctx, team, team)
-		assert.NilError(ben.t, err)
-		ben.keys[team] = rsp.Key
+		rsp, err := fix.admin.Grant(ctx, team, team)
+		assert.NilError(fix.t, err)
+		fix.keys[team] = rsp.Key
 	}
-	ben.await(func() bool { cfg, err := ben.admin.Config(ctx); return err == nil && len(cfg.VMs) == 2 })
+	fix.await(func() bool { cfg, err := fix.admin.Config(ctx); return err == nil && len(cfg.VMs) == 2 })
 }
 
-func (ben *bench) await(holds func() bool) {
-	ben.t.Helper()
+func (fix *fixture) await(condition func() bool) {
+	fix.t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		if holds() {
+		if condition() {
 			return
 		}
 	}
-	ben.t.Fatal("waited too long")
+	fix.t.Fatal("timed out")
 }
 
-// call makes a caller's request and returns a line that says what it was told.
-func (ben *bench) call(method, path, keyName, body, work string, header ...string) string {
-	ben.t.Helper()
-	req, err := http.NewRequest(method, "http://"+ben.runner.CallersListener.Addr().String()+path, strings.NewReader(body))
-	assert.NilError(ben.t, err)
-	if secret := ben.keys[keyName]; secret != "" {
+// call sends a caller's request and returns the status, outcome and refusal code
+// of its response.
+func (fix *fixture) call(method, path, keyName, body, work string, header ...string) string {
+	fix.t.Helper()
+	req, err := http.NewRequest(method, "http://"+fix.runner.CallersListener.Addr().String()+path, strings.NewReader(body))
+	assert.NilError(fix.t, err)
+	if secret := fix.keys[keyName]; secret != "" {
 		req.Header.Set("Authorization", "Bearer "+secret)
 	}
 	req.Header.Set(executor.HeaderWork, work)
@@ -124,113 +125,114 @@
 		req.Header.Set(header[i], header[i+1])
 	}
 	rsp, err := http.DefaultClient.Do(req)
-	assert.NilError(ben.t, err)
+	assert.NilError(fix.t, err)
 	defer func() { _ = rsp.Body.Close() }()
 	data, err := io.ReadAll(rsp.Body)
-	assert.NilError(ben.t, err)
+	assert.NilError(fix.t, err)
 	var ref outcome.Refusal
 	_ = json.Unmarshal(data, &ref)
 	return fmt.Sprintf("%d %s %s", rsp.StatusCode, rsp.Header.Get(outcome.Header), ref.Code)
 }
 
-// TestAnswers causes each answer of docs/operators/answers.md that one entry can
-// give, and compares them with the golden table.
+// TestAnswers provokes each response in docs/operators/answers.md that a single
+// entry can give and compares them with a golden file. No refused request may
+// have been executed.
 func TestAnswers(t *testing.T) {
-	ben := newBench(t)
+	fix := newFixture(t)
 	var lines []string
 	add := func(name, got string) { lines = append(lines, fmt.Sprintf("%-24s %s", name, got)) }
-	add("answered", ben.call("POST", "/any/a", "one", "x", "1ms"))
-	add("open to all", ben.call("GET", "/open/a", "none", "", "1ms"))
-	add("accepted", ben.call("POST", "/v1/queues/notes/tasks", "one", "1ms", ""))
-	add("invalid timeout", ben.call("POST", "/any/a", "one", "x", "", "Balsamgauge-Timeout", "soon"))
-	add("no key", ben.call("POST", "/any/no-key", "none", "x", ""))
-	add("wrong key", ben.call("POST", "/any/wrong-key", "wrong", "x", ""))
-	add("wrong team", ben.call("POST", "/one/wrong-team", "two", "x", ""))
-	add("unknown route", ben.call("POST", "/nowhere", "one", "x", ""))
-	add("unknown queue", ben.call("POST", "/v1/queues/nowhere/tasks", "one", "x", ""))
-	add("unknown task", ben.call("GET", "/v1/tasks/nothing", "one", "", ""))
-	add("body too large", ben.call("POST", "/any/large", "one", strings.Repeat("x", 101), ""))
-	add("payload too large", ben.call("POST", "/v1/queues/notes/tasks", "one", strings.Repeat("x", 101), ""))
-	add("key used twice, first", ben.call("POST", "/any/twice", "one", "x", "1ms", "Idempotency-Key", "k"))
-	add("key used twice, again", ben.call("POST", "/any/twice", "one", "x", "1ms", "Idempotency-Key", "k"))
-	add("deadline passed", ben.call("POST", "/empty/late", "one", "x", ""))
-	add("pool full", ben.poolFull())
-	add("over limit", ben.overLimit())
-	add("upstream lost", ben.withFault(executor.FaultCloseAfter, "/any/lost"))
-	add("upstream truncates", ben.withFault(executor.FaultTruncate, "/any/cut"))
-	ben.killExecutors()
-	add("upstream failed", ben.call("POST", "/any/failed", "one", "x", ""))
-	ben.fleet.Store.SetDown(true)
-	add("store down", ben.call("POST", "/v1/queues/notes/tasks", "one", "1ms", ""))
+	add("answered", fix.call("POST", "/any/a", "one", "x", "1ms"))
+	add("open to all", fix.call("GET", "/open/a", "none", "", "1ms"))
+	add("accepted", fix.call("POST", "/v1/queues/notes/tasks", "one", "1ms", ""))
+	add("invalid timeout", fix.call("POST", "/any/a", "one", "x", "", "Balsamgauge-Timeout", "soon"))
+	add("no key", fix.call("POST", "/any/no-key", "none", "x", ""))
+	add("wrong key", fix.call("POST", "/any/wrong-key", "wrong", "x", ""))
+	add("wrong team", fix.call("POST", "/one/wrong-team", "two", "x", ""))
+	add("unknown route", fix.call("POST", "/nowhere", "one", "x", ""))
+	add("unknown queue", fix.call("POST", "/v1/queues/nowhere/tasks", "one", "x", ""))
+	add("unknown task", fix.call("GET", "/v1/tasks/nothing", "one", "", ""))
+	add("body too large", fix.call("POST", "/any/large", "one", strings.Repeat("x", 101), ""))
+	add("payload too large", fix.call("POST", "/v1/queues/notes/tasks", "one", strings.Repeat("x", 101), ""))
+	add("key used twice, first", fix.call("POST", "/any/twice", "one", "x", "1ms", "Idempotency-Key", "k"))
+	add("key used twice, again", fix.call("POST", "/any/twice", "one", "x", "1ms", "Idempotency-Key", "k"))
+	add("deadline passed", fix.call("POST", "/empty/late", "one", "x", ""))
+	add("pool full", fix.poolFull())
+	add("over limit", fix.overLimit())
+	add("upstream lost", fix.withFault(executor.FaultCloseAfter, "/any/lost"))
+	add("upstream truncates", fix.withFault(executor.FaultTruncate, "/any/cut"))
+	fix.killExecutors()
+	add("upstream failed", fix.call("POST", "/any/failed", "one", "x", ""))
+	fix.fleet.Store.SetDown(true)
+	add("store down", fix.call("POST", "/v1/queues/notes/tasks", "one", "1ms", ""))
 	golden.Assert(t, strings.Join(lines, "\n")+"\n", "answers.golden")
-	for _, run := range ben.fleet.Runs.Runs() {
+	for _, run := range fix.fleet.Runs.Runs() {
 		for _, refused := range []string{"no-key", "wrong-key", "wrong-team", "large", "late", "full", "over", "failed"} {
-			assert.Assert(t, !strings.HasSuffix(run.RunID, "/"+refused), "%s was refused, and ran", run.RunID)
+			assert.Assert(t, !strings.HasSuffix(run.RunID, "/"+refused), "%s was refused but executed", run.RunID)
 		}
 	}
 }
 
-// poolFull lets one request wait for the empty pool, and sends another.
-func (ben *bench) poolFull() string {
+// poolFull fills the queue of the empty pool with one request and sends another.
+func (fix *fixture) poolFull() string {
 	waiting := make(chan string, 1)
-	go func() { waiting <- ben.call("POST", "/empty/first", "one", "x", "") }()
-	ben.await(func() bool {
-		sts, err := ben.admin.Status(context.Background())
+	go func() { waiting <- fix.call("POST", "/empty/first", "one", "x", "") }()
+	fix.await(func() bool {
+		sts, err := fix.admin.Status(context.Background())
 		return err == nil && sts.Pools[1].Waiting == 1
 	})
-	got := ben.call("POST", "/empty/full", "one", "x", "")
+	got := fix.call("POST", "/empty/full", "one", "x", "")
 	<-waiting
 	return got
 }
 
-// overLimit lets a request use the team's only permit, and sends another.
-func (ben *bench) overLimit() string {
+// overLimit holds the team's only permit with one request and sends another.
+func (fix *fixture) overLimit() string {
 	running := make(chan string, 1)
-	go func() { running <- ben.call("POST", "/any/long", "two", "x", "600ms") }()
-	ben.await(func() bool {
-		sts, err := ben.admin.Status(context.Background())
+	go func() { running <- fix.call("POST", "/any/long", "two", "x", "600ms") }()
+	fix.await(func() bool {
+		sts, err := fix.admin.Status(context.Background())
 		return err == nil && sts.Teams[1].Running == 1
 	})
-	got := ben.call("POST", "/brief/over", "two", "x", "1ms")
+	got := fix.call("POST", "/brief/over", "two", "x", "1ms")
 	<-running
 	return got
 }
 
-func (ben *bench) withFault(fault executor.Fault, path string) string {
-	for _, exe := range ben.fleet.Executors {
+func (fix *fixture) withFault(fault executor.Fault, path string) string {
+	for _, exe := range fix.fleet.Executors {
 		exe.SetFault(fault)
 		defer exe.SetFault(executor.FaultNone)
 	}
-	return ben.call("POST", path, "one", "x", "1ms")
+	return fix.call("POST", path, "one", "x", "1ms")
 }
 
-func (ben *bench) killExecutors() {
-	for _, exe := range ben.fleet.Executors {
+func (fix *fixture) killExecutors() {
+	for _, exe := range fix.fleet.Executors {
 		exe.Kill()
 	}
 }
 
-func TestAdminNeedsTheCredential(t *testing.T) {
-	ben := newBench(t)
-	stranger := adminclient.New(ben.runner.AdminListener.Addr().String(), "guess")
+func TestAdminRequiresCredential(t *testing.T) {
+	fix := newFixture(t)
+	stranger := adminclient.New(fix.runner.AdminListener.Addr().String(), "guess")
 	_, err := stranger.Status(context.Background())
 	assert.ErrorContains(t, err, "unauthorized")
 	_, err = stranger.Withdraw(context.Background(), "one")
 	assert.ErrorContains(t, err, "unauthorized")
 }
 
-// TestNoKeyIsKeptOrTold looks for a granted key in all that the store holds and
-// in the time line.
-func TestNoKeyIsKeptOrTold(t *testing.T) {
-	ben := newBench(t)
-	ben.call("POST", "/any/a", "one", "x", "1ms")
-	evts, err := ben.admin.Timeline(context.Background())
+// TestKeysAreNotDisclosed guards against a granted key that appears in clear in
+// the store or in the time line.
+func TestKeysAreNotDisclosed(t *testing.T) {
+	fix := newFixture(t)
+	fix.call("POST", "/any/a", "one", "x", "1ms")
+	evts, err := fix.admin.Timeline(context.Background())
 	assert.NilError(t, err)
-	told, err := json.Marshal(evts)
+	encoded, err := json.Marshal(evts)
 	assert.NilError(t, err)
-	for _, text := range append(ben.fleet.Store.Dump(), string(told)) {
+	for _, text := range append(fix.fleet.Store.Dump(), string(encoded)) {
 		for _, team := range []string{"one", "two"} {
-			assert.Assert(t, !strings.Contains(text, ben.keys[team]))
+			assert.Assert(t, !strings.Contains(text, fix.keys[team]))
 		}
 	}
 }
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -18,10 +18,11 @@
 // timeoutHeader lets a caller shorten the route's deadline, as in "1.5s".
 const timeoutHeader = "Balsamgauge-Timeout"
 
-// ReadyPath is what the balancer asks on the callers' listener.
+// ReadyPath is the path of the load balancer's readiness check on the callers'
+// listener.
 const ReadyPath = "/-/ready"
 
-// TaskResponse is how a task is told to its submitter.
+// TaskResponse is the body of a response about a task.
 type TaskResponse struct {
 	Outcome outcome.Outcome `json:"outcome"`
 	ID      string          `json:"id"`
@@ -48,7 +49,8 @@
 	}
 }
 
-// keyHash returns the hash of the key that came with a request, or "".
+// keyHash returns the hash of the API key in a request's Authorization header,
+// or "" if there is none.
 func keyHash(req *http.Request) string {
 	secret, ok := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
 	if !ok || secret == "" {
@@ -57,21 +59,22 @@
 	return key.Hash(secret)
 }
 
-// errBodyCut means that the caller's body did not arrive whole.
-var errBodyCut = errors.New("the body did not arrive whole")
+// errBodyIncomplete is returned for a request body that could not be read to its
+// end.
+var errBodyIncomplete = errors.New("the body did not arrive whole")
 
 func readBody(wrt http.ResponseWriter, req *http.Request, limit int64) (body []byte, err error) {
 	body, err = io.ReadAll(http.MaxBytesReader(wrt, req.Body, limit))
 	var tooLarge *http.MaxBytesError
 	if err != nil && !errors.As(err, &tooLarge) {
-		return nil, errBodyCut
+		return nil, errBodyIncomplete
 	}
 	return body, err
 }
 
 func refuseBody(wrt http.ResponseWriter, err error) {
 	ref := outcome.Refusal{Outcome: outcome.NotRun, Code: outcome.CodeBodyTooLarge, Message: "The body is larger than the route allows."}
-	if errors.Is(err, errBodyCut) {
+	if errors.Is(err, errBodyIncomplete) {
 		ref = outcome.Refusal{Outcome: outcome.NotRun, Code: outcome.CodeInvalid, Message: "The body did not arrive whole."}
 	}
 	writeRefusal(wrt, ref)
@@ -100,8 +103,9 @@
 	rnr.await(wrt, req, exc)
 }
 
-// bodyLimit is one byte more than the route allows, so that the core sees that
-// a body is too large and nobody holds more of it than that.
+// bodyLimit returns the number of body bytes to read for a path. It is one byte
+// more than the route allows, so that the reducer can detect and refuse a body
+// that is too large without the whole body being held in memory.
 func (rnr *Runner) bodyLimit(path string) int64 {
 	if rou, ok := rnr.config.Load().RouteFor(path); ok {
 		return rou.MaxBodyBytes + 1
@@ -109,8 +113,8 @@
 	return table.DefaultMaxBody
 }
 
-// await writes the reply of an exchange. A caller that goes away before it
-// cancels the request.
+// await waits for the reply of an exchange and writes it. If the caller
+// disconnects first, the request is cancelled.
 func (rnr *Runner) await(wrt http.ResponseWriter, req *http.Request, exc *exchange.Exchange) {
 	select {
 	case rep := <-exc.Reply():
@@ -118,7 +122,7 @@
 	case <-req.Context().Done():
 		rnr.Post(event.RequestCancelled{Request: exc.ID})
 		rnr.exchanges.Drop(exc.ID)
-	case <-rnr.calls.Done():
+	case <-rnr.callsCtx.Done():
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -133,8 +137,8 @@
 	rnr.Post(event.TaskSubmitted{
 		Request: exc.ID, Queue: req.PathValue("queue"), KeyHash: keyHash(req), Payload: payload,
 	})
-	// A submission is not cancelled when its caller goes away: its record may
-	// be on the way to the store.
+	// A caller that disconnects does not cancel its submission: the record of
+	// the task may already be on its way to the store.
 	rnr.await(wrt, req, exc)
 }
 
@@ -153,7 +157,7 @@
 func writeReply(wrt http.ResponseWriter, rep exchange.Reply) {
 	switch rep := rep.(type) {
 	case exchange.HTTPResponse:
-		writeAnswer(wrt, rep)
+		writeHTTPResponse(wrt, rep)
 	case exchange.Refusal:
 		writeRefusal(wrt, rep.Refusal)
 	case exchange.Accepted:
@@ -167,8 +171,8 @@
 	}
 }
 
-func writeAnswer(wrt http.ResponseWriter, ans exchange.HTTPResponse) {
-	for name, values := range ans.Header {
+func writeHTTPResponse(wrt http.ResponseWriter, rsp exchange.HTTPResponse) {
+	for name, values := range rsp.Header {
 		switch name {
 		case "Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length", "Trailer":
 		default:
@@ -176,8 +180,8 @@
 		}
 	}
 	wrt.Header().Set(outcome.Header, string(outcome.Answered))
-	wrt.WriteHeader(ans.Status)
-	_, _ = wrt.Write(ans.Body)
+	wrt.WriteHeader(rsp.Status)
+	_, _ = wrt.Write(rsp.Body)
 }
 
 func writeRefusal(wrt http.ResponseWriter, ref outcome.Refusal) {
@@ -195,7 +199,8 @@
 	_ = json.NewEncoder(wrt).Encode(body)
 }
 
-// isIdempotent tells by the method, as RFC 9110, section 9.2.2, defines it.
+// isIdempotent reports whether RFC 9110, section 9.2.2, defines a method as
+// idempotent.
 func isIdempotent(method string) bool {
 	switch method {
 	case http.MethodGet, http.MethodHead, http.MethodPut, http.MethodDelete, http.MethodOptions, http.MethodTrace:
@@ -209,9 +214,9 @@
 	if text == "" {
 		return 0, nil
 	}
-	span, err := time.ParseDuration(text)
-	if err != nil || span <= 0 {
+	timeout, err := time.ParseDuration(text)
+	if err != nil || timeout <= 0 {
 		return 0, errors.New(timeoutHeader + " must be a positive span such as 1.5s")
 	}
-	return span, nil
+	return timeout, nil
 }
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -14,9 +14,9 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// carryOut does what an effect asks for. Whatever takes time runs beside the
-// loop and comes back as an event.
-func (rnr *Runner) carryOut(eff effect.Effect) {
+// execute carries out an effect. Anything that blocks runs in its own goroutine
+// and reports its result as an event.
+func (rnr *Runner) execute(eff effect.Effect) {
 	switch eff := eff.(type) {
 	case effect.Send:
 		rnr.links.Send(eff.To, eff.Message)
@@ -29,11 +29,11 @@
 	case effect.RelayResponse:
 		rnr.relay(eff)
 	case effect.StartTask:
-		go func() { rnr.Post(rnr.workers.Start(rnr.calls, eff)) }()
+		go func() { rnr.Post(rnr.workers.Start(rnr.callsCtx, eff)) }()
 	case effect.PollWorker:
-		go func() { rnr.Post(rnr.workers.Poll(rnr.calls, eff)) }()
+		go func() { rnr.Post(rnr.workers.Poll(rnr.callsCtx, eff)) }()
 	case effect.StopTask:
-		go rnr.workers.Stop(rnr.calls, eff)
+		go rnr.workers.Stop(rnr.callsCtx, eff)
 	case effect.Connect:
 		rnr.connect(eff.Voters)
 	case effect.PublishConfig:
@@ -51,7 +51,7 @@
 	}
 }
 
-// reply ends the exchange that an effect answers.
+// reply finishes the exchange that an effect replies to.
 func (rnr *Runner) reply(eff effect.Effect) {
 	switch eff := eff.(type) {
 	case effect.Refuse:
@@ -68,7 +68,7 @@
 }
 
 func (rnr *Runner) callStore(eff effect.CallStore) {
-	ctx, cancel := context.WithTimeout(rnr.calls, effect.StoreTimeout)
+	ctx, cancel := context.WithTimeout(rnr.callsCtx, effect.StoreTimeout)
 	defer cancel()
 	rnr.Post(event.StoreAnswered{Call: eff.Call, Result: rnr.store.Call(ctx, eff.Op)})
 }
@@ -81,7 +81,7 @@
 		})
 		return
 	}
-	ctx, cancel := context.WithDeadline(rnr.calls, eff.Deadline)
+	ctx, cancel := context.WithDeadline(rnr.callsCtx, eff.Deadline)
 	key := attemptKey{eff.Work, eff.Attempt}
 	rnr.mu.Lock()
 	rnr.aborts[key] = cancel
@@ -117,8 +117,8 @@
 	if !ok {
 		return
 	}
-	if ans, ok := exc.ResponseOf(eff.Attempt); ok {
-		rnr.exchanges.Finish(eff.Request, ans)
+	if rsp, ok := exc.ResponseOf(eff.Attempt); ok {
+		rnr.exchanges.Finish(eff.Request, rsp)
 	}
 }
 
@@ -127,26 +127,27 @@
 	for _, vtr := range voters {
 		addresses = append(addresses, vtr.Address)
 	}
-	rnr.links.SetAddresses(rnr.calls, addresses)
+	rnr.links.SetAddresses(rnr.callsCtx, addresses)
 }
 
 func (rnr *Runner) setReady(ready bool) {
 	rnr.ready.Store(ready)
 	if ready {
-		rnr.part("entry").Info("The entry is ready.")
+		rnr.partLogger("entry").Info("The entry is ready.")
 	} else {
-		rnr.part("entry").Warn("The entry is not ready.")
+		rnr.partLogger("entry").Warn("The entry is not ready.")
 	}
 }
 
-// stopAccepting ends the callers' connections once their requests are answered.
-// A connection that has sent nothing yet gets five seconds, by net/http's rule.
+// stopAccepting closes the callers' listener, and their connections once their
+// requests are answered. net/http waits up to 5 seconds for a connection that
+// has not sent a request yet.
 func (rnr *Runner) stopAccepting() {
 	rnr.callers.SetKeepAlivesEnabled(false)
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := rnr.callers.Shutdown(ctx); err != nil {
-		rnr.part("entry").WithError(err).Warn("Some callers were cut off.")
+		rnr.partLogger("entry").WithError(err).Warn("Shutdown timed out; some caller connections were closed before their response.")
 	}
 	rnr.Post(event.AcceptingStopped{})
 }
@@ -156,6 +157,6 @@
 	rnr.ring.Add(timeline.Event{
 		Stamp: stm, Entry: rnr.id, Part: eff.Part, Name: eff.Name, Subject: eff.Subject, Detail: eff.Detail,
 	})
-	rnr.part(eff.Part).WithFields(map[string]any{"subject": eff.Subject, "detail": eff.Detail}).
+	rnr.partLogger(eff.Part).WithFields(map[string]any{"subject": eff.Subject, "detail": eff.Detail}).
 		Debug(strings.ReplaceAll(eff.Name, "_", " "))
 }
--- a/internal/runner/operators.go
+++ b/internal/runner/operators.go
@@ -17,33 +17,36 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// maxOperatorBody bounds an operator's request, in bytes.
-const maxOperatorBody = 1 << 20
+// maxOperatorBodyBytes is the largest accepted body of an admin request.
+const maxOperatorBodyBytes = 1 << 20
 
-// ApplyRequest asks for new tables.
+// ApplyRequest replaces the tables of routes and pools.
 type ApplyRequest struct {
 	Tables table.Tables `json:"tables"`
-	// Base is the revision that the tables were made from; zero means any.
+	// Base is the revision that the tables were edited from. The request is
+	// refused if a later one is in force. Zero matches any revision.
 	Base int64 `json:"base"`
 }
 
-// GrantRequest asks for a new key.
+// GrantRequest creates an API key for a team.
 type GrantRequest struct {
 	Name string `json:"name"`
 	Team string `json:"team"`
 }
 
-// ChangeResponse answers a change.
+// ChangeResponse is the body of a response to a change of the configuration.
 type ChangeResponse struct {
 	Accepted bool         `json:"accepted"`
 	Revision int64        `json:"revision"`
 	Code     outcome.Code `json:"code,omitempty"`
 	Message  string       `json:"message,omitempty"`
-	// Key is shown once, to whom it was granted.
+	// Key is the secret of a new API key. It is returned only here: the store
+	// holds its hash.
 	Key string `json:"key,omitempty"`
 }
 
-// ConfigResponse is the configuration that an entry runs by, without hashes.
+// ConfigResponse is the configuration in force at an entry, without the hashes
+// of keys.
 type ConfigResponse struct {
 	Revision       int64              `json:"revision"`
 	TablesRevision int64              `json:"tables_revision"`
@@ -53,7 +56,7 @@
 	Voters         []table.Voter      `json:"voters"`
 }
 
-// KeyResponse names a granted key.
+// KeyResponse is the name and team of a granted key.
 type KeyResponse struct {
 	Name string `json:"name"`
 	Team string `json:"team"`
@@ -67,7 +70,7 @@
 	mux.HandleFunc("POST /v1/keys", rnr.serveGrant)
 	mux.HandleFunc("DELETE /v1/keys/{name}", rnr.serveWithdraw)
 	mux.HandleFunc("POST /v1/azs/{az}/{direction}", rnr.serveAZ)
-	mux.HandleFunc("POST /v1/members/{member}/gone", rnr.serveGone)
+	mux.HandleFunc("POST /v1/members/{member}/gone", rnr.serveMemberGone)
 	mux.HandleFunc("GET /v1/timeline", rnr.serveTimeline)
 	mux.HandleFunc("GET /v1/metrics", rnr.serveMetrics)
 	mux.HandleFunc("GET /debug/pprof/", pprof.Index)
@@ -75,7 +78,7 @@
 	return rnr.authenticate(mux)
 }
 
-// authenticate lets through only requests with the operators' credential.
+// authenticate rejects requests without the operators' credential.
 func (rnr *Runner) authenticate(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(wrt http.ResponseWriter, req *http.Request) {
 		secret, _ := strings.CutPrefix(req.Header.Get("Authorization"), "Bearer ")
@@ -104,7 +107,7 @@
 	case rep := <-exc.Reply():
 		return rep
 	case <-req.Context().Done():
-	case <-rnr.calls.Done():
+	case <-rnr.callsCtx.Done():
 	}
 	rnr.exchanges.Drop(exc.ID)
 	return nil
@@ -127,7 +130,7 @@
 	if !readJSON(wrt, req, &apl) {
 		return
 	}
-	rnr.change(wrt, req, table.TablesReplaced{Tables: apl.Tables}, apl.Base, "")
+	rnr.requestChange(wrt, req, table.TablesReplaced{Tables: apl.Tables}, apl.Base, "")
 }
 
 func (rnr *Runner) serveGrant(wrt http.ResponseWriter, req *http.Request) {
@@ -145,11 +148,11 @@
 		return
 	}
 	granted := table.Key{Hash: key.Hash(secret), Name: grt.Name, Team: grt.Team}
-	rnr.change(wrt, req, table.KeyGranted{Key: granted}, 0, secret)
+	rnr.requestChange(wrt, req, table.KeyGranted{Key: granted}, 0, secret)
 }
 
 func (rnr *Runner) serveWithdraw(wrt http.ResponseWriter, req *http.Request) {
-	rnr.change(wrt, req, table.KeyWithdrawn{Name: req.PathValue("name")}, 0, "")
+	rnr.requestChange(wrt, req, table.KeyWithdrawn{Name: req.PathValue("name")}, 0, "")
 }
 
 func (rnr *Runner) serveAZ(wrt http.ResponseWriter, req *http.Request) {
@@ -158,31 +161,32 @@
 		writeInvalid(wrt, "An availability zone goes out or in.")
 		return
 	}
-	rnr.change(wrt, req, table.AZSet{AZ: req.PathValue("az"), Out: direction == "out"}, 0, "")
+	rnr.requestChange(wrt, req, table.AZSet{AZ: req.PathValue("az"), Out: direction == "out"}, 0, "")
 }
 
-// change asks for a change and writes what became of it. The secret of a new
-// key is shown only when the change was accepted.
-func (rnr *Runner) change(wrt http.ResponseWriter, req *http.Request, chg table.Change, base int64, secret string) {
+// requestChange submits a change of the configuration and writes its result. The
+// secret of a new key is returned only if the change was accepted.
+func (rnr *Runner) requestChange(wrt http.ResponseWriter, req *http.Request, chg table.Change, base int64, secret string) {
 	exc := rnr.exchanges.Open(exchange.Request{})
 	rnr.Post(event.ChangeRequested{Request: exc.ID, Change: chg, Base: base})
 	rep, ok := rnr.wait(req, exc).(exchange.ChangeResult)
 	if !ok {
 		return
 	}
-	ans := rep.Result
-	rsp := ChangeResponse{Accepted: ans.Accepted, Revision: ans.Revision, Code: ans.Code, Message: ans.Message}
+	res := rep.Result
+	rsp := ChangeResponse{Accepted: res.Accepted, Revision: res.Revision, Code: res.Code, Message: res.Message}
 	status := http.StatusOK
-	if ans.Accepted {
+	if res.Accepted {
 		rsp.Key = secret
 	} else {
-		status = ans.Code.HTTPStatus()
+		status = res.Code.HTTPStatus()
 	}
 	writeJSON(wrt, status, rsp)
 }
 
-// serveGone takes an operator's word that a member runs no more.
-func (rnr *Runner) serveGone(wrt http.ResponseWriter, req *http.Request) {
+// serveMemberGone accepts an operator's confirmation that a member has ended, so
+// that it can be removed from the voters.
+func (rnr *Runner) serveMemberGone(wrt http.ResponseWriter, req *http.Request) {
 	id := req.PathValue("member")
 	if _, votes := rnr.config.Load().Voter(id); !votes || id == rnr.id {
 		writeInvalid(wrt, "No other member that votes has the ID "+id+".")
@@ -202,7 +206,7 @@
 }
 
 func readJSON(wrt http.ResponseWriter, req *http.Request, into any) bool {
-	dec := json.NewDecoder(http.MaxBytesReader(wrt, req.Body, maxOperatorBody))
+	dec := json.NewDecoder(http.MaxBytesReader(wrt, req.Body, maxOperatorBodyBytes))
 	dec.DisallowUnknownFields()
 	if err := dec.Decode(into); err != nil {
 		writeInvalid(wrt, "The request can't be read: "+err.Error())
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -34,19 +34,21 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Timing of the runner.
+// Timeouts, intervals and limits of the runner.
 const (
-	// listEvery is the time between two readings of the platform's list.
-	listEvery = time.Second
-	// shutdownTimeout bounds the end of the callers' connections.
+	// listInterval is the time between two polls of the platform's list of VMs.
+	listInterval = time.Second
+	// shutdownTimeout is the time that callers' connections have to finish
+	// during a graceful shutdown.
 	shutdownTimeout = 10 * time.Second
-	// readHeaderTimeout bounds how long a caller may take to send headers.
+	// readHeaderTimeout is the time a client has to send its request headers.
 	readHeaderTimeout = 5 * time.Second
-	// eventQueue is the number of events that may wait for the reducer.
-	eventQueue = 8192
+	// eventQueueLength is the number of events that can be queued for the
+	// reducer; Post blocks beyond it.
+	eventQueueLength = 8192
 )
 
-// Runner is one entry process.
+// Runner runs one entry.
 type Runner struct {
 	set       settings.Settings
 	id        string
@@ -67,18 +69,20 @@
 
 	callers *http.Server
 	admin   *http.Server
-	// CallersListener, PeerListener and AdminListener are open from New on.
+	// CallersListener, PeerListener and AdminListener are opened by New.
 	CallersListener net.Listener
 	PeerListener    net.Listener
 	AdminListener   net.Listener
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// aborts cancels the attempts in flight.
 	aborts map[attemptKey]context.CancelFunc
-	// calls ends when the loop does, and every call with it.
-	calls    context.Context
-	endCalls context.CancelFunc
-	exited   chan struct{}
-	exitOnce sync.Once
+	// callsCtx is the parent context of all calls to other processes. It ends
+	// when the entry exits.
+	callsCtx    context.Context
+	cancelCalls context.CancelFunc
+	exited      chan struct{}
+	exitOnce    sync.Once
 }
 
 type attemptKey struct {
@@ -86,7 +90,7 @@
 	attempt int
 }
 
-// New opens the listeners of an entry. Run must follow.
+// New opens the listeners of an entry. The caller must then call Run.
 func New(set settings.Settings, logger *logrus.Logger) (rnr *Runner, err error) {
 	defer func() {
 		if err != nil {
@@ -100,7 +104,7 @@
 	rnr = &Runner{
 		set: set, id: id,
 		log:       logger.WithField("entry", id),
-		events:    make(chan event.Event, eventQueue),
+		events:    make(chan event.Event, eventQueueLength),
 		exchanges: exchange.NewTable(),
 		clock:     &timeline.Clock{},
 		ring:      timeline.NewRing(set.TimelineEvents),
@@ -112,7 +116,7 @@
 		aborts:    map[attemptKey]context.CancelFunc{},
 		exited:    make(chan struct{}),
 	}
-	rnr.calls, rnr.endCalls = context.WithCancel(context.Background())
+	rnr.callsCtx, rnr.cancelCalls = context.WithCancel(context.Background())
 	rnr.config.Store(table.Empty())
 	rnr.store = etcd.New(set.Store, set.StorePrefix, rnr.registry)
 	if err := rnr.listen(); err != nil {
@@ -122,17 +126,20 @@
 		Version: peerlink.Version, Region: set.Region, ID: id, AZ: set.AZ,
 		Address: rnr.PeerListener.Addr().String(),
 	}
-	rnr.links = peerlink.New(hello, rnr.clock, rnr.part("peerlink"), rnr.Post)
+	rnr.links = peerlink.New(hello, rnr.clock, rnr.partLogger("peerlink"), rnr.Post)
 	rnr.callers = &http.Server{Handler: rnr.callersHandler(), ReadHeaderTimeout: readHeaderTimeout}
 	rnr.admin = &http.Server{Handler: rnr.adminHandler(), ReadHeaderTimeout: readHeaderTimeout}
 	return rnr, nil
 }
 
-// idBytes is the length of the random part of an entry's ID.
-const idBytes = 4
+// randomIDBytes is the length of the random suffix of an entry's ID before hex
+// encoding.
+const randomIDBytes = 4
 
+// newID returns the name of an entry with a random suffix, so that a restarted
+// entry has another ID.
 func newID(name string) (id string, err error) {
-	random := make([]byte, idBytes)
+	random := make([]byte, randomIDBytes)
 	if _, err := rand.Read(random); err != nil {
 		return "", err
 	}
@@ -150,29 +157,31 @@
 	return err
 }
 
-func (rnr *Runner) part(name string) *logrus.Entry {
+// partLogger returns the logger for one part of the entry.
+func (rnr *Runner) partLogger(name string) *logrus.Entry {
 	return rnr.log.WithField("part", name)
 }
 
 // ID returns the entry's ID.
 func (rnr *Runner) ID() string { return rnr.id }
 
-// Post feeds an event to the entry. It blocks while too many wait, and drops
-// the event once the entry has exited.
+// Post queues an event for the reducer. It blocks while the queue is full, and
+// drops the event once the entry has exited.
 func (rnr *Runner) Post(evt event.Event) {
 	select {
 	case rnr.events <- evt:
-	case <-rnr.calls.Done():
+	case <-rnr.callsCtx.Done():
 	}
 }
 
-// Shutdown begins the graceful shutdown.
+// Shutdown starts a graceful shutdown.
 func (rnr *Runner) Shutdown() { rnr.Post(event.ShutdownRequested{}) }
 
-// Kill ends the entry at once, as a lost VM would. Tests use it.
+// Kill stops the entry immediately, without a graceful shutdown. Tests use it to
+// simulate the loss of the entry's VM.
 func (rnr *Runner) Kill() { rnr.exit() }
 
-// Run drives the entry until it has shut down.
+// Run runs the entry until it has shut down.
 func (rnr *Runner) Run() error {
 	var grp run.Group
 	ctx, cancel := context.WithCancel(context.Background())
@@ -188,7 +197,7 @@
 	grp.Add(func() error { return rnr.watchConfig(ctx) }, func(error) { cancel() })
 	rnr.links.SetAddresses(ctx, rnr.set.Peers)
 	err := grp.Run()
-	rnr.endCalls()
+	rnr.cancelCalls()
 	select {
 	case <-rnr.exited:
 		return nil
@@ -197,8 +206,9 @@
 	}
 }
 
-// ignoreClosed waits, after a server was shut down gracefully, for the entry
-// to exit, so that the other actors go on until then.
+// ignoreClosed turns the error of a server that was shut down gracefully into
+// nil, and returns only when the entry exits: the run group stops all actors as
+// soon as one returns.
 func ignoreClosed(err error, exited <-chan struct{}) error {
 	if err != http.ErrServerClosed {
 		return err
@@ -207,6 +217,7 @@
 	return nil
 }
 
+// loop feeds queued events and ticks to the reducer until the entry exits.
 func (rnr *Runner) loop(ctx context.Context) error {
 	seed := make([]byte, 8)
 	if _, err := rand.Read(seed); err != nil {
@@ -240,13 +251,13 @@
 	}
 }
 
-// step feeds one event to the reducer and carries out the effects.
+// step passes one event to the reducer and carries out the resulting effects.
 func (rnr *Runner) step(sta entry.State, evt event.Event) entry.State {
 	began := time.Now()
 	next, effs := entry.Reduce(began, sta, evt)
 	rnr.timerOf(evt).UpdateSince(began)
 	for _, eff := range effs {
-		rnr.carryOut(eff)
+		rnr.execute(eff)
 	}
 	return next
 }
@@ -261,7 +272,8 @@
 	reflect.TypeFor[event.ShutdownRequested](): "shutdownasked",
 }
 
-// timerOf returns the metric of an event's type. Only the loop calls it.
+// timerOf returns the timer metric for an event's type. It is not safe for
+// concurrent use: only loop calls it.
 func (rnr *Runner) timerOf(evt event.Event) metrics.Timer {
 	kind := reflect.TypeOf(evt)
 	timer, ok := rnr.timers[kind]
@@ -278,28 +290,29 @@
 
 func (rnr *Runner) exit() {
 	rnr.exitOnce.Do(func() {
-		rnr.endCalls()
+		rnr.cancelCalls()
 		close(rnr.exited)
 	})
 }
 
+// listVMs polls the platform's list of VMs and posts an event when it changes.
 func (rnr *Runner) listVMs(ctx context.Context) error {
-	ticker := time.NewTicker(listEvery)
+	ticker := time.NewTicker(listInterval)
 	defer ticker.Stop()
-	var told []vm.VM
+	var previous []vm.VM
 	for {
 		vms, err := rnr.vmlist.List(ctx)
 		switch {
-		case err == nil && (told == nil || !slices.Equal(told, vms)):
-			told = vms
+		case err == nil && (previous == nil || !slices.Equal(previous, vms)):
+			previous = vms
 			rnr.Post(event.FleetListed{VMs: vms})
-			kept := make(map[string]bool, len(vms))
-			for _, one := range vms {
-				kept[one.ID] = true
+			ids := make(map[string]bool, len(vms))
+			for _, listed := range vms {
+				ids[listed.ID] = true
 			}
-			rnr.upstream.RetainOnly(kept)
+			rnr.upstream.RetainOnly(ids)
 		case err != nil && ctx.Err() == nil:
-			rnr.part("platform").WithError(err).Debug("The list of VMs could not be read.")
+			rnr.partLogger("platform").WithError(err).Debug("Failed to read the platform's list of VMs.")
 		}
 		select {
 		case <-ctx.Done():
@@ -309,10 +322,12 @@
 	}
 }
 
+// watchConfig posts an event whenever the head of the configuration changes in
+// the store. It restarts the watch a second after it ends.
 func (rnr *Runner) watchConfig(ctx context.Context) error {
 	for ctx.Err() == nil {
 		err := rnr.store.Watch(ctx, store.KeyConfigHead, func() { rnr.Post(event.StoreChanged{}) })
-		rnr.part("store").WithError(err).Debug("The watch ended.")
+		rnr.partLogger("store").WithError(err).Debug("The watch of the configuration ended.")
 		select {
 		case <-ctx.Done():
 		case <-time.After(time.Second):
