--- a/internal/peerlink/incoming.go
+++ b/internal/peerlink/incoming.go
@@ -9,7 +9,8 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/message"
 )
 
-// Serve accepts peers until the listener is closed.
+// Serve accepts connections from peers until the listener is closed. Beyond
+// maxAccepted it closes new ones immediately.
 func (lks *Links) Serve(lsn net.Listener) error {
 	for {
 		conn, err := lsn.Accept()
@@ -30,6 +31,8 @@
 	}
 }
 
+// serveIncoming receives from one accepted connection until it ends. It replaces
+// an older connection from the same peer.
 func (lks *Links) serveIncoming(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
@@ -37,9 +40,9 @@
 		lks.accepted--
 		lks.mu.Unlock()
 	}()
-	peer, err := lks.greet(conn)
+	peer, err := lks.handshake(conn)
 	if err != nil {
-		lks.log.WithError(err).WithField("address", conn.RemoteAddr()).Warn("A greeting was refused.")
+		lks.log.WithError(err).WithField("address", conn.RemoteAddr()).Warn("The handshake of an accepted connection failed.")
 		return
 	}
 	lks.mu.Lock()
@@ -48,19 +51,21 @@
 	}
 	lks.incoming[peer.ID] = conn
 	lks.learned[peer.ID] = peer.Address
-	lks.adjustDialing()
+	lks.updateDialers()
 	lks.mu.Unlock()
 	err = lks.readMessages(conn, peer.ID)
 	lks.mu.Lock()
 	if lks.incoming[peer.ID] == conn {
 		delete(lks.incoming, peer.ID)
 		delete(lks.learned, peer.ID)
-		lks.adjustDialing()
+		lks.updateDialers()
 	}
 	lks.mu.Unlock()
-	lks.log.WithError(err).WithField("peer", peer.ID).Debug("An accepted link ended.")
+	lks.log.WithError(err).WithField("peer", peer.ID).Debug("An accepted connection ended.")
 }
 
+// readMessages posts received messages and acknowledges pings until the
+// connection ends or is replaced.
 func (lks *Links) readMessages(conn net.Conn, from string) error {
 	for {
 		if err := conn.SetReadDeadline(time.Now().Add(idleTimeout)); err != nil {
@@ -73,7 +78,7 @@
 		now := time.Now()
 		lks.clock.Heard(now, stm)
 		if len(payload) == 0 {
-			if err := conn.SetWriteDeadline(now.Add(silentAfter)); err != nil {
+			if err := conn.SetWriteDeadline(now.Add(pongTimeout)); err != nil {
 				return err
 			}
 			if err := writeFrame(conn, lks.clock.Now(now), nil); err != nil {
@@ -89,7 +94,7 @@
 		current := lks.incoming[from] == conn
 		lks.mu.Unlock()
 		if !current {
-			return errors.New("a newer connection took this one's place")
+			return errors.New("replaced by a newer connection from the same peer")
 		}
 		lks.post(event.MessageReceived{Member: from, Message: msg})
 	}
--- a/internal/peerlink/links.go
+++ b/internal/peerlink/links.go
@@ -13,73 +13,80 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Timing and bounds of the links.
+// Timeouts, intervals and limits of the links.
 const (
-	dialTimeout = time.Second
-	redialEvery = 200 * time.Millisecond
-	pingEvery   = 500 * time.Millisecond
-	// silentAfter is how long a connection may leave a ping unanswered.
-	silentAfter = 1500 * time.Millisecond
-	// queueLength bounds the messages that wait for a connection.
+	dialTimeout    = time.Second
+	redialInterval = 200 * time.Millisecond
+	pingInterval   = 500 * time.Millisecond
+	// pongTimeout is the time a peer has to acknowledge a ping before its
+	// connection is closed. It also bounds each write.
+	pongTimeout = 1500 * time.Millisecond
+	// queueLength is the number of messages that can be queued for a connection.
 	queueLength = 4096
-	// idleTimeout ends an accepted connection on which nothing comes.
+	// idleTimeout is the time after which an accepted connection that receives
+	// no frame is closed.
 	idleTimeout = 5 * time.Second
-	// maxAccepted bounds the connections that are accepted at once.
+	// maxAccepted is the largest number of accepted connections open at a time.
 	maxAccepted = 1024
 )
 
-// Links keeps a connection to each peer. It is safe for concurrent use.
+// Links maintains a connection to each peer. It is safe for concurrent use.
 type Links struct {
 	self  Hello
 	clock *timeline.Clock
 	log   *logrus.Entry
-	// post feeds an event to the entry; it may block.
+	// post queues an event for the reducer; it may block.
 	post func(event.Event)
 
 	mu sync.Mutex
-	// ctx ends all dialing.
-	ctx    context.Context
-	wanted map[string]bool
-	// learned maps a member whose connection was accepted to its address.
+	// ctx is the parent context of all dialers. It is nil until the first call of
+	// SetAddresses.
+	ctx        context.Context
+	configured map[string]bool
+	// learned maps each member with an accepted connection to the address from
+	// its handshake.
 	learned map[string]string
-	// dialing holds the addresses that are being kept connected.
+	// dialing maps each address with a running dialer to the dialer's cancel
+	// function.
 	dialing map[string]context.CancelFunc
-	// outgoing maps a member to its connection for sending.
+	// outgoing maps a member to the dialed connection to it.
 	outgoing map[string]*outgoing
-	// incoming maps a member to its newest accepted connection.
+	// incoming maps a member to the newest connection accepted from it.
 	incoming map[string]net.Conn
 	accepted int
 }
 
-// New returns links that feed events to post.
+// New returns links that pass received messages and changes of connections to
+// post.
 func New(self Hello, clock *timeline.Clock, log *logrus.Entry, post func(event.Event)) *Links {
 	return &Links{
 		self: self, clock: clock, log: log, post: post,
-		wanted:   map[string]bool{},
-		learned:  map[string]string{},
-		dialing:  map[string]context.CancelFunc{},
-		outgoing: map[string]*outgoing{},
-		incoming: map[string]net.Conn{},
+		configured: map[string]bool{},
+		learned:    map[string]string{},
+		dialing:    map[string]context.CancelFunc{},
+		outgoing:   map[string]*outgoing{},
+		incoming:   map[string]net.Conn{},
 	}
 }
 
-// SetAddresses replaces the addresses to keep connected. Beside them, the links dial
-// back every peer whose connection they have accepted.
+// SetAddresses replaces the set of peer addresses to stay connected to. In
+// addition, Links dials back every peer from which it has accepted a connection.
+// All dialers end with ctx.
 func (lks *Links) SetAddresses(ctx context.Context, addresses []string) {
 	lks.mu.Lock()
 	defer lks.mu.Unlock()
 	lks.ctx = ctx
-	lks.wanted = map[string]bool{}
+	lks.configured = map[string]bool{}
 	for _, address := range addresses {
-		lks.wanted[address] = true
+		lks.configured[address] = true
 	}
-	lks.adjustDialing()
+	lks.updateDialers()
 }
 
-// adjustDialing begins and ends dialing so that it fits the addresses that are
-// wanted or learned. The caller holds the lock.
-func (lks *Links) adjustDialing() {
-	addresses := maps.Clone(lks.wanted)
+// updateDialers starts dialers for new addresses, configured or learned, and
+// stops those of removed ones. The caller holds the lock.
+func (lks *Links) updateDialers() {
+	addresses := maps.Clone(lks.configured)
 	for _, address := range lks.learned {
 		addresses[address] = true
 	}
@@ -87,7 +94,7 @@
 		if _, ok := lks.dialing[address]; !ok && lks.ctx != nil {
 			dialCtx, cancel := context.WithCancel(lks.ctx)
 			lks.dialing[address] = cancel
-			go lks.keepDialed(dialCtx, address)
+			go lks.maintainConnection(dialCtx, address)
 		}
 	}
 	for address, cancel := range lks.dialing {
@@ -98,12 +105,13 @@
 	}
 }
 
-// Send queues a message for a member. Without a connection it is dropped: the
-// entry has been told that the peer is down. A full queue ends the connection.
+// Send queues a message for a member. Without a connection the message is
+// dropped; PeerDown reports the lost connection to the reducer. If the queue is
+// full, the connection is closed.
 func (lks *Links) Send(to string, msg message.Message) {
 	payload, err := message.Encode(msg)
 	if err != nil {
-		lks.log.WithError(err).Error("A message could not be encoded.")
+		lks.log.WithError(err).Error("Failed to encode a message.")
 		return
 	}
 	lks.mu.Lock()
@@ -115,12 +123,13 @@
 	select {
 	case out.queue <- payload:
 	default:
-		lks.log.WithField("peer", to).Warn("The queue to a peer is full; its connection is ended.")
+		lks.log.WithField("peer", to).Warn("The send queue of a peer is full; closing the connection.")
 		_ = out.conn.Close()
 	}
 }
 
-func (lks *Links) greet(conn net.Conn) (peer Hello, err error) {
+// handshake exchanges hello messages on a new connection and returns the peer's.
+func (lks *Links) handshake(conn net.Conn) (peer Hello, err error) {
 	now := time.Now()
 	if err := conn.SetDeadline(now.Add(dialTimeout)); err != nil {
 		return Hello{}, err
--- a/internal/peerlink/links_test.go
+++ b/internal/peerlink/links_test.go
@@ -17,8 +17,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// end is one side of the links, with the events that it was fed.
-type end struct {
+// endpoint is one entry's links with the events that they posted.
+type endpoint struct {
 	links   *peerlink.Links
 	address string
 
@@ -26,78 +26,80 @@
 	events []event.Event
 }
 
-func newEnd(t *testing.T, id, region string) *end {
+func newEndpoint(t *testing.T, id, region string) *endpoint {
 	t.Helper()
 	lsn, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = lsn.Close() })
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	side := &end{address: lsn.Addr().String()}
-	hello := peerlink.Hello{Version: peerlink.Version, Region: region, ID: id, AZ: "az", Address: side.address}
-	side.links = peerlink.New(hello, &timeline.Clock{}, logger.WithField("id", id), func(evt event.Event) {
-		side.mu.Lock()
-		defer side.mu.Unlock()
-		side.events = append(side.events, evt)
+	ept := &endpoint{address: lsn.Addr().String()}
+	hello := peerlink.Hello{Version: peerlink.Version, Region: region, ID: id, AZ: "az", Address: ept.address}
+	ept.links = peerlink.New(hello, &timeline.Clock{}, logger.WithField("id", id), func(evt event.Event) {
+		ept.mu.Lock()
+		defer ept.mu.Unlock()
+		ept.events = append(ept.events, evt)
 	})
-	go func() { _ = side.links.Serve(lsn) }()
-	return side
+	go func() { _ = ept.links.Serve(lsn) }()
+	return ept
 }
 
-// want keeps a link to an address until the test ends.
-func (side *end) want(t *testing.T, addresses ...string) {
+// connect sets the addresses to dial until the test ends.
+func (ept *endpoint) connect(t *testing.T, addresses ...string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	side.links.SetAddresses(ctx, addresses)
+	ept.links.SetAddresses(ctx, addresses)
 }
 
-// count returns how many events a condition holds of.
-func (side *end) count(holds func(event.Event) bool) int {
-	side.mu.Lock()
-	defer side.mu.Unlock()
+// count returns the number of events that satisfy a condition.
+func (ept *endpoint) count(condition func(event.Event) bool) int {
+	ept.mu.Lock()
+	defer ept.mu.Unlock()
 	count := 0
-	for _, evt := range side.events {
-		if holds(evt) {
+	for _, evt := range ept.events {
+		if condition(evt) {
 			count++
 		}
 	}
 	return count
 }
 
-func (side *end) await(t *testing.T, count int, holds func(event.Event) bool) {
+func (ept *endpoint) await(t *testing.T, count int, condition func(event.Event) bool) {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
-		if side.count(holds) >= count {
+		if ept.count(condition) >= count {
 			return
 		}
 	}
-	t.Fatalf("waited too long, got %v", side.events)
+	t.Fatalf("timed out, got events %v", ept.events)
 }
 
-func isUp(evt event.Event) bool   { _, ok := evt.(event.PeerUp); return ok }
-func isDown(evt event.Event) bool { _, ok := evt.(event.PeerDown); return ok }
-func isSaid(evt event.Event) bool { _, ok := evt.(event.MessageReceived); return ok }
+func isUp(evt event.Event) bool      { _, ok := evt.(event.PeerUp); return ok }
+func isDown(evt event.Event) bool    { _, ok := evt.(event.PeerDown); return ok }
+func isMessage(evt event.Event) bool { _, ok := evt.(event.MessageReceived); return ok }
 
-func TestMessagesTravelBothWaysThoughOneSideDials(t *testing.T) {
-	a, b := newEnd(t, "a", "r"), newEnd(t, "b", "r")
-	a.want(t, b.address)
-	b.want(t)
+// TestMessagesFlowBothWaysWhenOneSideDials checks that an entry dials back a peer
+// whose address it learns only from an accepted connection.
+func TestMessagesFlowBothWaysWhenOneSideDials(t *testing.T) {
+	a, b := newEndpoint(t, "a", "r"), newEndpoint(t, "b", "r")
+	a.connect(t, b.address)
+	b.connect(t)
 	a.await(t, 1, isUp)
 	b.await(t, 1, isUp)
 	a.links.Send("b", message.ReleaseKey{Hash: "from a"})
 	b.links.Send("a", message.ReleaseKey{Hash: "from b"})
-	a.await(t, 1, isSaid)
-	b.await(t, 1, isSaid)
+	a.await(t, 1, isMessage)
+	b.await(t, 1, isMessage)
 }
 
 func TestPeerOfAnotherRegionIsRefused(t *testing.T) {
-	a, b := newEnd(t, "a", "r"), newEnd(t, "b", "elsewhere")
-	a.want(t, b.address)
+	a, b := newEndpoint(t, "a", "r"), newEndpoint(t, "b", "elsewhere")
+	a.connect(t, b.address)
 	time.Sleep(500 * time.Millisecond)
 	assert.Equal(t, a.count(isUp)+b.count(isUp), 0)
 }
 
-// relay passes bytes between two ends until it is told to swallow them.
+// relay is a TCP proxy that can discard the traffic of its open connections.
 type relay struct {
 	address string
 	mu      sync.Mutex
@@ -149,7 +151,8 @@
 	}
 }
 
-// silence makes the open connections silent for good. New ones work.
+// silence discards all further traffic on the open connections without closing
+// them. New connections work.
 func (rly *relay) silence() {
 	rly.mu.Lock()
 	defer rly.mu.Unlock()
@@ -159,22 +162,23 @@
 }
 
 func TestSilentConnectionIsReplaced(t *testing.T) {
-	a, b := newEnd(t, "a", "r"), newEnd(t, "b", "r")
+	a, b := newEndpoint(t, "a", "r"), newEndpoint(t, "b", "r")
 	rly := newRelay(t, b.address)
-	a.want(t, rly.address)
+	a.connect(t, rly.address)
 	a.await(t, 1, isUp)
 	rly.silence()
 	a.await(t, 1, isDown)
 	a.await(t, 2, isUp)
 	a.links.Send("b", message.ReleaseKey{Hash: "h"})
-	b.await(t, 1, isSaid)
+	b.await(t, 1, isMessage)
 }
 
-// TestBrokenBytesEndOnlyTheirConnection sends frames that are too long, or no
-// frames at all, while another peer goes on.
-func TestBrokenBytesEndOnlyTheirConnection(t *testing.T) {
-	a, b := newEnd(t, "a", "r"), newEnd(t, "b", "r")
-	a.want(t, b.address)
+// TestMalformedFramesEndOnlyTheirConnection sends an oversized frame, an invalid
+// frame and an HTTP request. Each connection must be closed, and the connection
+// of another peer must stay up.
+func TestMalformedFramesEndOnlyTheirConnection(t *testing.T) {
+	a, b := newEndpoint(t, "a", "r"), newEndpoint(t, "b", "r")
+	a.connect(t, b.address)
 	a.await(t, 1, isUp)
 	tooLong := make([]byte, 12)
 	binary.BigEndian.PutUint32(tooLong, 1<<31)
@@ -187,10 +191,10 @@
 		_, err = io.Copy(io.Discard, conn)
 		_ = conn.Close()
 		if nerr, ok := err.(net.Error); ok {
-			assert.Assert(t, !nerr.Timeout(), "the connection was not ended")
+			assert.Assert(t, !nerr.Timeout(), "the connection was not closed")
 		}
 	}
 	a.links.Send("b", message.ReleaseKey{Hash: "h"})
-	b.await(t, 1, isSaid)
+	b.await(t, 1, isMessage)
 	assert.Equal(t, a.count(isDown), 0)
 }
--- a/internal/peerlink/outgoing.go
+++ b/internal/peerlink/outgoing.go
@@ -9,29 +9,34 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/event"
 )
 
+// outgoing is a dialed connection with its send queue.
 type outgoing struct {
 	conn  net.Conn
 	queue chan []byte
 }
 
-func (lks *Links) keepDialed(ctx context.Context, address string) {
+// maintainConnection dials an address, and dials it again after redialInterval
+// whenever the connection ends, until ctx ends.
+func (lks *Links) maintainConnection(ctx context.Context, address string) {
 	for ctx.Err() == nil {
-		err := lks.dialOnce(ctx, address)
+		err := lks.serveDialed(ctx, address)
 		if err != nil && ctx.Err() == nil {
-			lks.log.WithError(err).WithField("address", address).Debug("A link ended.")
+			lks.log.WithError(err).WithField("address", address).Debug("A dialed connection ended.")
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(redialEvery):
+		case <-time.After(redialInterval):
 		}
 	}
 }
 
-// errSelf ends the dialing of the entry's own address.
-var errSelf = errors.New("the address is the entry's own")
+// errSelf is returned when a dialed address is the entry's own. It is returned
+// only when ctx ends, so that the address is not dialed again.
+var errSelf = errors.New("address belongs to this entry")
 
-// dialOnce connects to a peer and sends to it until the connection ends.
-func (lks *Links) dialOnce(ctx context.Context, address string) error {
+// serveDialed dials a peer and sends queued messages to it until the connection
+// ends.
+func (lks *Links) serveDialed(ctx context.Context, address string) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -40,7 +45,7 @@
 	defer func() { _ = conn.Close() }()
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	peer, err := lks.greet(conn)
+	peer, err := lks.handshake(conn)
 	if err != nil {
 		return err
 	}
@@ -50,13 +55,13 @@
 	}
 	out := &outgoing{conn: conn, queue: make(chan []byte, queueLength)}
 	lks.mu.Lock()
-	_, taken := lks.outgoing[peer.ID]
-	if !taken {
+	_, connected := lks.outgoing[peer.ID]
+	if !connected {
 		lks.outgoing[peer.ID] = out
 	}
 	lks.mu.Unlock()
-	if taken {
-		return errors.New("the peer is connected under another address")
+	if connected {
+		return errors.New("peer is already connected under another address")
 	}
 	lks.post(event.PeerUp{Member: peer.ID, AZ: peer.AZ})
 	err = lks.serveOutgoing(out)
@@ -67,23 +72,23 @@
 	return err
 }
 
-// serveOutgoing writes messages and pings until the connection ends or a ping
-// goes unanswered.
+// serveOutgoing writes messages and pings until the connection ends or a ping is
+// not acknowledged in time.
 func (lks *Links) serveOutgoing(out *outgoing) error {
-	dead := make(chan error, 1)
-	go func() { dead <- lks.readPongs(out.conn) }()
-	ping := time.NewTicker(pingEvery)
+	readErr := make(chan error, 1)
+	go func() { readErr <- lks.readPongs(out.conn) }()
+	ping := time.NewTicker(pingInterval)
 	defer ping.Stop()
 	for {
 		var payload []byte
 		select {
-		case err := <-dead:
+		case err := <-readErr:
 			return err
 		case payload = <-out.queue:
 		case <-ping.C:
 		}
 		now := time.Now()
-		if err := out.conn.SetWriteDeadline(now.Add(silentAfter)); err != nil {
+		if err := out.conn.SetWriteDeadline(now.Add(pongTimeout)); err != nil {
 			return err
 		}
 		if err := writeFrame(out.conn, lks.clock.Now(now), payload); err != nil {
@@ -92,10 +97,12 @@
 	}
 }
 
+// readPongs reads acknowledgements of pings. It closes the connection when none
+// arrives within pongTimeout.
 func (lks *Links) readPongs(conn net.Conn) error {
 	defer func() { _ = conn.Close() }()
 	for {
-		if err := conn.SetReadDeadline(time.Now().Add(silentAfter)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(pongTimeout)); err != nil {
 			return err
 		}
 		stm, _, err := readFrame(conn, 0)
