--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -16,30 +16,31 @@
 	"github.com/balsamgauge/balsamgauge/internal/exchange"
 )
 
-// Bounds of an attempt.
+// Timeouts and limits of an attempt.
 const (
 	dialTimeout = 500 * time.Millisecond
-	// maxAnswer bounds an answer, which is held until it is whole, in bytes.
-	maxAnswer = 8 << 20
-	// idleTimeout is how long a connection may be kept for the next request.
-	// One that has been idle for longer may have gone silent.
+	// maxResponseBytes is the largest response that is accepted. A response is held
+	// in memory until it is complete.
+	maxResponseBytes = 8 << 20
+	// idleTimeout is the time after which an idle connection is closed. A
+	// connection that has been idle for longer may have become unresponsive.
 	idleTimeout = 500 * time.Millisecond
 )
 
-// NotRunHeader is set by an upstream that refuses a request without having
-// processed any of it.
+// NotRunHeader is the response header by which an upstream states that it
+// refused a request without processing any of it.
 const NotRunHeader = "Balsamgauge-Not-Run"
 
 // Client sends requests to VMs. It is safe for concurrent use.
 type Client struct {
-	// connsPerVM is this entry's part of the connections that a VM allows.
+	// connsPerVM is this entry's share of the connections that a VM allows.
 	connsPerVM int
 
 	mu  sync.Mutex
 	vms map[string]*target
 }
 
-// target is what the client keeps for one VM.
+// target holds the connections to one VM.
 type target struct {
 	limit  *connLimit
 	pooled *http.Transport
@@ -50,37 +51,38 @@
 	return &Client{connsPerVM: connsPerVM, vms: map[string]*target{}}
 }
 
-// Attempt is one try of a request at a VM.
+// Attempt is one attempt to send a request to a VM.
 type Attempt struct {
 	VM      string
 	Address string
 	Request exchange.Request
-	// Repeatable requests may go out on a connection that has been idle. The
-	// others get a new one: an idle connection can have been closed at its
-	// other end, and then nobody could tell whether the request was run.
+	// Repeatable requests may be sent on an idle connection. All others get a
+	// new one: the VM may have closed an idle connection already, and then it
+	// is unknown whether the request was run.
 	Repeatable bool
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result struct {
 	Kind         event.AttemptResult
 	HTTPResponse exchange.HTTPResponse
-	Leaving      bool
-	Reason       string
+	// Leaving is set if the VM announced its shutdown by "Connection: close".
+	Leaving bool
+	Reason  string
 }
 
-// Do makes an attempt. It returns when the whole answer is there, the attempt
-// failed, or the context ended.
+// Do makes an attempt. It returns when the response is complete, the attempt has
+// failed, or the context ends.
 func (cli *Client) Do(ctx context.Context, att Attempt) Result {
 	tgt := cli.target(att.VM)
 	if att.Repeatable {
 		return tgt.doRepeatable(ctx, att)
 	}
-	return tgt.doOnNew(ctx, att)
+	return tgt.doOnNewConn(ctx, att)
 }
 
-// doOnNew makes an attempt on a connection of its own.
-func (tgt *target) doOnNew(ctx context.Context, att Attempt) Result {
+// doOnNewConn makes an attempt on a new connection that no other request uses.
+func (tgt *target) doOnNewConn(ctx context.Context, att Attempt) Result {
 	if tgt.limit.isFull() {
 		tgt.pooled.CloseIdleConnections()
 	}
@@ -89,11 +91,11 @@
 	return roundTrip(ctx, transport, att, nil)
 }
 
-// doRepeatable makes an attempt on a pooled connection. If it is one that was
-// used before and nothing has come on it by half of the time, a second try goes
-// out on a new connection, and the first whole answer counts. An open connection
-// can have gone silent for good while new ones work. The first try goes on: it
-// may be slow and not lost.
+// doRepeatable makes an attempt on a pooled connection. If that connection was
+// reused and no response has arrived after half of the remaining time, it sends
+// the request a second time on a new connection and returns the first complete
+// response. A pooled connection can be dead without being closed while new
+// connections work. The first request is not cancelled: it may only be slow.
 func (tgt *target) doRepeatable(ctx context.Context, att Attempt) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -105,23 +107,23 @@
 	select {
 	case res := <-results:
 		return res
-	case <-time.After(halfOf(ctx)):
+	case <-time.After(halfRemaining(ctx)):
 	}
 	if !reused.Load() {
 		return <-results
 	}
-	go func() { results <- tgt.doOnNew(ctx, att) }()
+	go func() { results <- tgt.doOnNewConn(ctx, att) }()
 	first := <-results
 	if first.Kind == event.AttemptAnswered {
 		tgt.pooled.CloseIdleConnections()
 		return first
 	}
-	return better(first, <-results)
+	return moreInformative(first, <-results)
 }
 
-// better returns the result that is worth more to the caller. What one of the
-// two tries may have run is never said not to have run.
-func better(a, b Result) Result {
+// moreInformative returns the result to report of two for the same request. If
+// either request may have been run, the result never says that it was not run.
+func moreInformative(a, b Result) Result {
 	switch {
 	case b.Kind == event.AttemptAnswered || a.Kind == event.AttemptNotRun:
 		return b
@@ -130,8 +132,9 @@
 	}
 }
 
-// halfOf returns half of the time that a context has left.
-func halfOf(ctx context.Context) time.Duration {
+// halfRemaining returns half of the time until a context's deadline, or
+// dialTimeout if it has none.
+func halfRemaining(ctx context.Context) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return dialTimeout
@@ -139,12 +142,14 @@
 	return time.Until(deadline) / 2
 }
 
-func roundTrip(ctx context.Context, transport *http.Transport, att Attempt, got func(httptrace.GotConnInfo)) Result {
+// roundTrip sends a request and reads its response. It calls onConn, if not nil,
+// when it has a connection.
+func roundTrip(ctx context.Context, transport *http.Transport, att Attempt, onConn func(httptrace.GotConnInfo)) Result {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		connected.Store(true)
-		if got != nil {
-			got(info)
+		if onConn != nil {
+			onConn(info)
 		}
 	}}
 	hrq, err := newRequest(httptrace.WithClientTrace(ctx, trace), att)
@@ -153,30 +158,32 @@
 	}
 	hrs, err := transport.RoundTrip(hrq)
 	if err != nil {
-		return failure(err, connected.Load())
+		return failedResult(err, connected.Load())
 	}
 	defer func() { _ = hrs.Body.Close() }()
-	return readAnswer(hrs)
+	return readResponse(hrs)
 }
 
-// failure tells what is known of a request without an answer. Before there was
-// a connection, no byte of it can have reached the VM.
-func failure(err error, connected bool) Result {
+// failedResult classifies a request that got no response. Without a connection,
+// no byte of it can have reached the VM.
+func failedResult(err error, connected bool) Result {
 	if !connected {
 		return Result{Kind: event.AttemptNotRun, Reason: fmt.Sprintf("no connection: %v", err)}
 	}
 	return Result{Kind: event.AttemptUnknown, Reason: fmt.Sprintf("no answer: %v", err)}
 }
 
+// errTooLarge is returned for a response larger than maxResponseBytes.
 var errTooLarge = errors.New("the answer is too large")
 
-func readAnswer(hrs *http.Response) Result {
+// readResponse reads a response to its end and classifies it.
+func readResponse(hrs *http.Response) Result {
 	leaving := hrs.Close
 	if hrs.Header.Get(NotRunHeader) != "" {
 		return Result{Kind: event.AttemptNotRun, Leaving: leaving, Reason: "the upstream did not process the request"}
 	}
-	body, err := io.ReadAll(io.LimitReader(hrs.Body, maxAnswer+1))
-	if err == nil && len(body) > maxAnswer {
+	body, err := io.ReadAll(io.LimitReader(hrs.Body, maxResponseBytes+1))
+	if err == nil && len(body) > maxResponseBytes {
 		err = errTooLarge
 	}
 	if err == nil && isOpenEnded(hrs) {
@@ -192,8 +199,8 @@
 	}
 }
 
-// isOpenEnded reports whether an answer ends with its connection, so that a
-// truncated one looks like a whole one.
+// isOpenEnded reports whether only the end of the connection marks the end of the
+// response body, so that truncation can't be detected.
 func isOpenEnded(hrs *http.Response) bool {
 	return hrs.ContentLength < 0 && len(hrs.TransferEncoding) == 0 && !hrs.Uncompressed
 }
@@ -210,7 +217,8 @@
 	return tgt
 }
 
-// RetainOnly drops what is kept for VMs other than those given.
+// RetainOnly closes the idle connections to all VMs except those given and
+// forgets their connection limits.
 func (cli *Client) RetainOnly(vms map[string]bool) {
 	cli.mu.Lock()
 	defer cli.mu.Unlock()
@@ -232,9 +240,10 @@
 	}
 }
 
-// hopHeaders are those of one connection only (RFC 9110, section 7.6.1), with
-// what callers use to speak to the entry itself.
-var hopHeaders = []string{
+// hopByHopHeaders are the headers that are not forwarded to an upstream: those
+// that concern a single connection (RFC 9110, section 7.6.1) and the caller's
+// credential for the entry.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization",
 }
@@ -246,11 +255,11 @@
 		return nil, fmt.Errorf("build upstream request: %w", err)
 	}
 	hrq.Header = att.Request.Header.Clone()
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		hrq.Header.Del(name)
 	}
-	// The transport repeats a request by itself when it can get the body again
-	// or the method is idempotent. Only the core may decide on a repetition.
+	// The transport retries a request by itself if it can get the body again or
+	// the method is idempotent. Only the reducer may decide to retry.
 	hrq.GetBody = nil
 	return hrq, nil
 }
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -15,38 +15,38 @@
 	"gotest.tools/v3/assert"
 )
 
-// bench is an executor and a client that calls it.
-type bench struct {
+// fixture is an executor and a client that calls it.
+type fixture struct {
 	t        *testing.T
 	recorder *executor.Recorder
 	executor *executor.Executor
 	client   *upstream.Client
 }
 
-func newBench(t *testing.T, conns int) *bench {
+func newFixture(t *testing.T, conns int) *fixture {
 	t.Helper()
 	rec := executor.NewRecorder()
 	exe, err := executor.Start("vm", 8, rec)
 	assert.NilError(t, err)
 	t.Cleanup(exe.Kill)
-	return &bench{t: t, recorder: rec, executor: exe, client: upstream.New(conns)}
+	return &fixture{t: t, recorder: rec, executor: exe, client: upstream.New(conns)}
 }
 
-func (ben *bench) do(method, runID string, repeatable bool, work time.Duration) upstream.Result {
+func (fix *fixture) do(method, runID string, repeatable bool, work time.Duration) upstream.Result {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	header := http.Header{}
 	header.Set(executor.HeaderRunID, runID)
 	header.Set(executor.HeaderWork, work.String())
-	return ben.client.Do(ctx, upstream.Attempt{
-		VM: "vm", Address: ben.executor.Address(), Repeatable: repeatable,
+	return fix.client.Do(ctx, upstream.Attempt{
+		VM: "vm", Address: fix.executor.Address(), Repeatable: repeatable,
 		Request: exchange.Request{Method: method, Target: "/x", Header: header, Body: []byte(runID)},
 	})
 }
 
-func (ben *bench) runsOf(runID string) int {
+func (fix *fixture) runsOf(runID string) int {
 	runs := 0
-	for _, run := range ben.recorder.Runs() {
+	for _, run := range fix.recorder.Runs() {
 		if run.RunID == runID {
 			runs++
 		}
@@ -54,9 +54,9 @@
 	return runs
 }
 
-// TestFaultsAreToldTruthfully causes each fault and compares what the client
-// says with what the executor ran.
-func TestFaultsAreToldTruthfully(t *testing.T) {
+// TestFaultsAreClassified injects each fault and compares the client's result with
+// the number of runs at the executor.
+func TestFaultsAreClassified(t *testing.T) {
 	cases := []struct {
 		name  string
 		fault executor.Fault
@@ -71,49 +71,50 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			ben := newBench(t, 4)
-			ben.executor.SetFault(tc.fault)
-			res := ben.do(http.MethodPost, "r", false, 0)
+			fix := newFixture(t, 4)
+			fix.executor.SetFault(tc.fault)
+			res := fix.do(http.MethodPost, "r", false, 0)
 			assert.Equal(t, res.Kind, tc.kind, res.Reason)
-			assert.Equal(t, ben.runsOf("r"), tc.runs)
+			assert.Equal(t, fix.runsOf("r"), tc.runs)
 		})
 	}
 }
 
 func TestRefusedConnectionIsNotRun(t *testing.T) {
-	ben := newBench(t, 4)
-	ben.executor.Kill()
-	res := ben.do(http.MethodPost, "r", false, 0)
+	fix := newFixture(t, 4)
+	fix.executor.Kill()
+	res := fix.do(http.MethodPost, "r", false, 0)
 	assert.Equal(t, res.Kind, event.AttemptNotRun)
 }
 
-func TestDrainingUpstreamIsSeenLeaving(t *testing.T) {
-	ben := newBench(t, 4)
-	ben.executor.Drain()
-	res := ben.do(http.MethodPost, "r", false, 0)
+func TestDrainingUpstreamIsReportedAsLeaving(t *testing.T) {
+	fix := newFixture(t, 4)
+	fix.executor.Drain()
+	res := fix.do(http.MethodPost, "r", false, 0)
 	assert.Equal(t, res.Kind, event.AttemptNotRun)
 	assert.Assert(t, res.Leaving)
-	assert.Equal(t, ben.runsOf("r"), 0)
+	assert.Equal(t, fix.runsOf("r"), 0)
 }
 
-// TestUnrepeatableRequestNeverUsesAnIdleConnection lets the executor close a
-// connection while it is idle. A request on it could not be told from one that
-// ran.
+// TestUnrepeatableRequestNeverUsesAnIdleConnection closes an idle connection at
+// the executor. If a request were sent on it, the client could not determine
+// whether the request was run.
 func TestUnrepeatableRequestNeverUsesAnIdleConnection(t *testing.T) {
-	ben := newBench(t, 4)
-	assert.Equal(t, ben.do(http.MethodGet, "first", true, 0).Kind, event.AttemptAnswered)
-	ben.executor.CloseIdle()
+	fix := newFixture(t, 4)
+	assert.Equal(t, fix.do(http.MethodGet, "first", true, 0).Kind, event.AttemptAnswered)
+	fix.executor.CloseIdle()
 	for i := range 5 {
 		run := fmt.Sprint("post ", i)
-		assert.Equal(t, ben.do(http.MethodPost, run, false, 0).Kind, event.AttemptAnswered)
-		assert.Equal(t, ben.runsOf(run), 1)
+		assert.Equal(t, fix.do(http.MethodPost, run, false, 0).Kind, event.AttemptAnswered)
+		assert.Equal(t, fix.runsOf(run), 1)
 	}
 }
 
-// TestConnectionsStayWithinTheirBound sends both kinds of requests at once.
-func TestConnectionsStayWithinTheirBound(t *testing.T) {
+// TestConnectionsStayWithinLimit sends repeatable and other requests concurrently
+// and checks the number of connections that the executor saw.
+func TestConnectionsStayWithinLimit(t *testing.T) {
 	const conns = 7
-	ben := newBench(t, conns)
+	fix := newFixture(t, conns)
 	var grp sync.WaitGroup
 	for i := range 60 {
 		grp.Add(1)
@@ -123,43 +124,44 @@
 			if i%2 == 0 {
 				method = http.MethodPost
 			}
-			ben.do(method, fmt.Sprint(i), i%2 != 0, 5*time.Millisecond)
+			fix.do(method, fmt.Sprint(i), i%2 != 0, 5*time.Millisecond)
 		}()
 	}
 	grp.Wait()
-	assert.Assert(t, ben.executor.PeakConns() <= conns, "%d", ben.executor.PeakConns())
-	assert.Equal(t, len(ben.recorder.Runs()), 60)
+	assert.Assert(t, fix.executor.PeakConns() <= conns, "%d", fix.executor.PeakConns())
+	assert.Equal(t, len(fix.recorder.Runs()), 60)
 }
 
-// TestSilentConnections lets every open connection go silent for good. Repeatable
-// requests, which may use one, and the others, which never do, are answered all
-// the same.
+// TestSilentConnections makes every open connection unresponsive without closing
+// it. Repeatable requests, which may be sent on such a connection, and all
+// others, which never are, must still be answered.
 func TestSilentConnections(t *testing.T) {
-	ben := newBench(t, 7)
+	fix := newFixture(t, 7)
 	var grp sync.WaitGroup
 	for i := range 3 {
 		grp.Add(1)
 		go func() {
 			defer grp.Done()
-			ben.do(http.MethodGet, fmt.Sprint("warm ", i), true, 20*time.Millisecond)
+			fix.do(http.MethodGet, fmt.Sprint("warm ", i), true, 20*time.Millisecond)
 		}()
 	}
 	grp.Wait()
-	ben.executor.SilenceOpen()
+	fix.executor.SilenceOpen()
 	for i := range 3 {
 		run := fmt.Sprint("get ", i)
-		assert.Equal(t, ben.do(http.MethodGet, run, true, 0).Kind, event.AttemptAnswered)
-		assert.Equal(t, ben.runsOf(run), 1)
+		assert.Equal(t, fix.do(http.MethodGet, run, true, 0).Kind, event.AttemptAnswered)
+		assert.Equal(t, fix.runsOf(run), 1)
 	}
-	assert.Equal(t, ben.do(http.MethodPost, "post", false, 0).Kind, event.AttemptAnswered)
+	assert.Equal(t, fix.do(http.MethodPost, "post", false, 0).Kind, event.AttemptAnswered)
 }
 
-// TestSlowAnswerOnAUsedConnectionIsNotLost lets a request take longer than the
-// time after which a second try goes out.
-func TestSlowAnswerOnAUsedConnectionIsNotLost(t *testing.T) {
-	ben := newBench(t, 7)
-	ben.do(http.MethodGet, "warm", true, 0)
-	res := ben.do(http.MethodGet, "slow", true, 700*time.Millisecond)
+// TestSlowResponseOnReusedConnection sends a request that takes longer than the
+// delay before the second one is sent on a new connection. The client must not
+// discard the slow response.
+func TestSlowResponseOnReusedConnection(t *testing.T) {
+	fix := newFixture(t, 7)
+	fix.do(http.MethodGet, "warm", true, 0)
+	res := fix.do(http.MethodGet, "slow", true, 700*time.Millisecond)
 	assert.Equal(t, res.Kind, event.AttemptAnswered)
-	assert.Assert(t, ben.runsOf("slow") <= 2)
+	assert.Assert(t, fix.runsOf("slow") <= 2)
 }
--- a/internal/upstream/doc.go
+++ b/internal/upstream/doc.go
@@ -1,4 +1,4 @@
-// Package upstream sends requests to the executors of the pools through
-// net/http, and tells apart what certainly did not run, what was answered whole
-// and what may have run.
+// Package upstream sends requests to executors, the VMs of a pool that serve
+// requests, over HTTP. It classifies each attempt: the executor did not run the
+// request, its complete response arrived, or it may have run the request.
 package upstream
--- a/internal/upstream/limit.go
+++ b/internal/upstream/limit.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// connLimit bounds the open connections to one VM.
+// connLimit limits the number of open connections to one VM.
 type connLimit struct {
 	slots chan struct{}
 }
@@ -21,7 +21,7 @@
 	return len(lim.slots) == cap(lim.slots)
 }
 
-// dial opens a connection once one may be opened.
+// dial opens a connection. At the limit it waits until another one is closed.
 func (lim *connLimit) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	select {
 	case lim.slots <- struct{}{}:
@@ -29,8 +29,8 @@
 		return nil, ctx.Err()
 	}
 	dialer := net.Dialer{Timeout: dialTimeout}
-	// A dial that is given up may have been accepted; the VM would count the
-	// connection and the limit would not.
+	// The dial is not cancelled with ctx: the VM may already have accepted the
+	// connection and would count it, while its slot here would be free.
 	conn, err := dialer.DialContext(context.WithoutCancel(ctx), network, address)
 	if err != nil {
 		<-lim.slots
@@ -39,31 +39,32 @@
 	return &limitedConn{Conn: conn, limit: lim}, nil
 }
 
-// limitedConn gives its place back when it is closed.
+// limitedConn releases its slot after it is closed.
 type limitedConn struct {
 	net.Conn
 	limit *connLimit
 	once  sync.Once
 }
 
-// lingerFor bounds how long a closed connection keeps its place while the VM has
-// not closed its end. A VM whose processors are busy takes over 100 ms.
-const lingerFor = time.Second
+// lingerTimeout is the longest time a closed connection keeps its slot while the
+// VM has not closed its end. A VM whose CPUs are busy takes more than 100 ms.
+const lingerTimeout = time.Second
 
-// Close closes the connection. Its place is free only when the VM has closed
-// its end too: until then the VM counts the connection.
+// Close closes the connection without waiting. The slot is released when the VM
+// has closed its end too, because until then the VM counts the connection.
 func (con *limitedConn) Close() error {
 	con.once.Do(func() { go con.linger() })
 	return nil
 }
 
+// linger sends a FIN, waits for that of the VM and then releases the slot.
 func (con *limitedConn) linger() {
 	defer func() { <-con.limit.slots }()
 	defer func() { _ = con.Conn.Close() }()
 	if half, ok := con.Conn.(*net.TCPConn); ok && half.CloseWrite() != nil {
 		return
 	}
-	if con.SetReadDeadline(time.Now().Add(lingerFor)) == nil {
+	if con.SetReadDeadline(time.Now().Add(lingerTimeout)) == nil {
 		_, _ = io.Copy(io.Discard, con.Conn)
 	}
 }
