--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,6 +1,6 @@
-// Package exchange keeps what the core never sees of a caller's request: the
-// method, headers and body, and the answers of its attempts, until one reply
-// goes back.
+// Package exchange holds the parts of a caller's request that the reducer does
+// not need: the method, headers and body, and the responses of its attempts. It
+// holds them until the caller receives its reply.
 package exchange
 
 import (
@@ -12,30 +12,30 @@
 	"github.com/balsamgauge/balsamgauge/pkg/outcome"
 )
 
-// A Reply ends an exchange. The closed set is Answer, Refusal, Accepted, Told,
-// Changed and Reported.
+// A Reply ends an exchange. Its types are HTTPResponse, Refusal, Accepted,
+// TaskStatus, ChangeResult and EntryStatus.
 type Reply interface{ isReply() }
 
-// HTTPResponse is the whole answer of an upstream.
+// HTTPResponse is the complete response of an upstream.
 type HTTPResponse struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Refusal is an answer of the entry itself.
+// Refusal is an error response of the entry itself.
 type Refusal struct{ Refusal outcome.Refusal }
 
-// Accepted means that a task is in the store.
+// Accepted confirms that a submitted task is in the store.
 type Accepted struct{ TaskID string }
 
 // TaskStatus is the status of a task.
 type TaskStatus struct{ Status task.Status }
 
-// ChangeResult answers an operator's change.
+// ChangeResult is the result of an operator's change of the configuration.
 type ChangeResult struct{ Result effect.ReplyChange }
 
-// EntryStatus is an entry's status.
+// EntryStatus is the status of the entry.
 type EntryStatus struct{ Status effect.Status }
 
 func (HTTPResponse) isReply() {}
@@ -45,66 +45,68 @@
 func (ChangeResult) isReply() {}
 func (EntryStatus) isReply()  {}
 
-// Request is what an upstream needs of a caller's request.
+// Request holds the parts of a caller's request that are forwarded to an
+// upstream.
 type Request struct {
 	Method string
-	// Target is the path with the query.
+	// Target is the path and query.
 	Target string
 	Header http.Header
 	Body   []byte
 }
 
-// Exchange is one caller's request until its reply.
+// Exchange is one client's request that has no reply yet.
 type Exchange struct {
 	ID      uint64
 	Request Request
 	reply   chan Reply
 
-	mu      sync.Mutex
-	answers map[int]HTTPResponse
+	mu sync.Mutex
+	// responses maps the number of an attempt to its response.
+	responses map[int]HTTPResponse
 }
 
-// Reply returns the channel on which the one reply comes.
+// Reply returns the channel that delivers the single reply.
 func (exc *Exchange) Reply() <-chan Reply { return exc.reply }
 
-// SetResponse keeps the answer of an attempt.
-func (exc *Exchange) SetResponse(attempt int, ans HTTPResponse) {
+// SetResponse stores the response of an attempt.
+func (exc *Exchange) SetResponse(attempt int, rsp HTTPResponse) {
 	exc.mu.Lock()
 	defer exc.mu.Unlock()
-	exc.answers[attempt] = ans
+	exc.responses[attempt] = rsp
 }
 
-// ResponseOf returns the answer of an attempt.
-func (exc *Exchange) ResponseOf(attempt int) (ans HTTPResponse, ok bool) {
+// ResponseOf returns the response of an attempt, if there is one.
+func (exc *Exchange) ResponseOf(attempt int) (rsp HTTPResponse, ok bool) {
 	exc.mu.Lock()
 	defer exc.mu.Unlock()
-	ans, ok = exc.answers[attempt]
-	return ans, ok
+	rsp, ok = exc.responses[attempt]
+	return rsp, ok
 }
 
-// Table holds the exchanges under way. It is safe for concurrent use.
+// Table holds the open exchanges. It is safe for concurrent use.
 type Table struct {
 	mu   sync.Mutex
 	next uint64
 	open map[uint64]*Exchange
 }
 
-// NewTable returns a table without exchanges.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{open: map[uint64]*Exchange{}}
 }
 
-// Open begins an exchange.
+// Open opens an exchange for a request.
 func (tab *Table) Open(req Request) *Exchange {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
 	tab.next++
-	exc := &Exchange{ID: tab.next, Request: req, reply: make(chan Reply, 1), answers: map[int]HTTPResponse{}}
+	exc := &Exchange{ID: tab.next, Request: req, reply: make(chan Reply, 1), responses: map[int]HTTPResponse{}}
 	tab.open[exc.ID] = exc
 	return exc
 }
 
-// Get returns an exchange that is under way.
+// Get returns an open exchange.
 func (tab *Table) Get(id uint64) (exc *Exchange, ok bool) {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
@@ -112,7 +114,8 @@
 	return exc, ok
 }
 
-// Finish sends the reply of an exchange. Only the first one counts.
+// Finish delivers the reply of an exchange and closes it. Further replies are
+// ignored.
 func (tab *Table) Finish(id uint64, rep Reply) {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
@@ -124,14 +127,14 @@
 	exc.reply <- rep
 }
 
-// Drop ends an exchange whose caller went away.
+// Drop closes an exchange without a reply, because its client disconnected.
 func (tab *Table) Drop(id uint64) {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
 	delete(tab.open, id)
 }
 
-// Len returns the number of exchanges under way.
+// Len returns the number of open exchanges.
 func (tab *Table) Len() int {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
