--- a/internal/etcd/client.go
+++ b/internal/etcd/client.go
@@ -1,7 +1,7 @@
-// Package etcd speaks the JSON gateway of etcd version 3, through net/http, as
-// published at https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/.
+// Package etcd is a client of the JSON gateway of etcd version 3. Its API is
+// described at https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/.
 //
-// Keys and values travel in base64, and 64-bit numbers as strings.
+// Keys and values are encoded in base64, and 64-bit integers as strings.
 package etcd
 
 import (
@@ -19,29 +19,30 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// maxAnswer bounds an answer of the store, in bytes.
-const maxAnswer = 64 << 20
+// maxResponseBytes is the largest part of a response that is read.
+const maxResponseBytes = 64 << 20
 
-// Client calls one store. It is safe for concurrent use.
+// Client is a client of one etcd endpoint. It is safe for concurrent use.
 type Client struct {
 	endpoint string
 	prefix   string
 	http     *http.Client
-	calls    metrics.Registry
+	registry metrics.Registry
 }
 
 // New returns a client for a store's address, such as http://127.0.0.1:2379.
-// All keys stand under the prefix. Calls are counted in the registry by kind.
-func New(endpoint, prefix string, calls metrics.Registry) *Client {
+// The client adds the prefix to all keys. The registry counts the calls by kind.
+func New(endpoint, prefix string, registry metrics.Registry) *Client {
 	return &Client{
 		endpoint: strings.TrimSuffix(endpoint, "/"),
 		prefix:   prefix,
 		http:     &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second}},
-		calls:    calls,
+		registry: registry,
 	}
 }
 
-// Call makes a call and returns its result. It never returns nil.
+// Call makes a call and returns its result, which is never nil. Errors are
+// returned as store.Failed.
 func (cli *Client) Call(ctx context.Context, op store.Op) store.Result {
 	res, err := cli.call(ctx, op)
 	if err != nil {
@@ -53,10 +54,10 @@
 func (cli *Client) call(ctx context.Context, op store.Op) (res store.Result, err error) {
 	switch op := op.(type) {
 	case store.Get:
-		return cli.rangeOver(ctx, rangeRequest{Key: []byte(cli.prefix + op.Key)})
+		return cli.getRange(ctx, rangeRequest{Key: []byte(cli.prefix + op.Key)})
 	case store.List:
 		prefix := cli.prefix + op.Prefix
-		return cli.rangeOver(ctx, rangeRequest{
+		return cli.getRange(ctx, rangeRequest{
 			Key: []byte(prefix), RangeEnd: prefixEnd(prefix), KeysOnly: op.KeysOnly,
 		})
 	case store.Write:
@@ -77,11 +78,12 @@
 		err := cli.post(ctx, "lease_revoke", "/v3/lease/revoke", leaseRequest{ID: op.Lease}, &rsp)
 		return store.Leased{Lease: op.Lease}, err
 	default:
-		return nil, fmt.Errorf("unknown call %T", op)
+		return nil, fmt.Errorf("unsupported store operation %T", op)
 	}
 }
 
-func (cli *Client) rangeOver(ctx context.Context, req rangeRequest) (res store.Result, err error) {
+// getRange reads a key or a range of keys.
+func (cli *Client) getRange(ctx context.Context, req rangeRequest) (res store.Result, err error) {
 	var rsp rangeResponse
 	if err := cli.post(ctx, "range", "/v3/kv/range", req, &rsp); err != nil {
 		return nil, err
@@ -97,6 +99,7 @@
 	return vls, nil
 }
 
+// write makes a conditional write as one transaction.
 func (cli *Client) write(ctx context.Context, op store.Write) (res store.Result, err error) {
 	var req txnRequest
 	for _, cnd := range op.Conditions {
@@ -128,13 +131,14 @@
 	return store.Written{Succeeded: rsp.Succeeded, Revision: rsp.Header.Revision}, nil
 }
 
+// post counts a call, sends its request and decodes its response.
 func (cli *Client) post(ctx context.Context, kind, path string, req, rsp any) (err error) {
 	defer func() {
 		if err != nil {
 			err = fmt.Errorf("store call %s: %w", kind, err)
 		}
 	}()
-	metrics.GetOrRegisterCounter("store_calls."+kind, cli.calls).Inc(1)
+	metrics.GetOrRegisterCounter("store_calls."+kind, cli.registry).Inc(1)
 	body, err := json.Marshal(req)
 	if err != nil {
 		return err
@@ -149,25 +153,25 @@
 		return err
 	}
 	defer func() { _ = hrs.Body.Close() }()
-	data, err := io.ReadAll(io.LimitReader(hrs.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(hrs.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
 	if hrs.StatusCode != http.StatusOK {
-		return fmt.Errorf("status %d: %s", hrs.StatusCode, firstBytes(data))
+		return fmt.Errorf("status %d: %s", hrs.StatusCode, truncate(data))
 	}
 	return json.Unmarshal(data, rsp)
 }
 
-// Watch calls changed upon each change of a key until the context ends or the
-// store breaks the watch off.
+// Watch calls changed whenever a key changes. It returns when the context ends or
+// the store closes the watch.
 func (cli *Client) Watch(ctx context.Context, key string, changed func()) (err error) {
 	defer func() {
 		if err != nil {
 			err = fmt.Errorf("watch %s: %w", key, err)
 		}
 	}()
-	metrics.GetOrRegisterCounter("store_calls.watch", cli.calls).Inc(1)
+	metrics.GetOrRegisterCounter("store_calls.watch", cli.registry).Inc(1)
 	body, err := json.Marshal(watchRequest{Create: watchCreate{Key: []byte(cli.prefix + key)}})
 	if err != nil {
 		return err
@@ -193,12 +197,13 @@
 	}
 }
 
-func firstBytes(data []byte) string {
-	const shown = 200
-	return string(data[:min(len(data), shown)])
+// truncate returns the start of a response body for an error message.
+func truncate(data []byte) string {
+	const maxShownBytes = 200
+	return string(data[:min(len(data), maxShownBytes)])
 }
 
-// prefixEnd returns the end of the range of all keys with a prefix.
+// prefixEnd returns the exclusive end of the range of all keys with a prefix.
 func prefixEnd(prefix string) []byte {
 	end := []byte(prefix)
 	for i := len(end) - 1; i >= 0; i-- {
--- a/internal/etcd/wire.go
+++ b/internal/etcd/wire.go
@@ -6,8 +6,8 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/store"
 )
 
-// The types follow the JSON mapping of etcd's rpc.proto. Byte slices are
-// written in base64 by encoding/json, as the gateway expects.
+// The types in this file follow the JSON mapping of etcd's rpc.proto.
+// encoding/json encodes byte slices in base64, as the gateway expects.
 
 type rangeRequest struct {
 	Key      []byte `json:"key"`
