--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads what one entry process is told at its start.
+// Package settings reads the settings file of one entry process. It is read once
+// at the start of the process.
 package settings
 
 import (
@@ -12,53 +13,54 @@
 	"github.com/balsamgauge/balsamgauge/internal/source"
 )
 
-// Defaults of settings that a file may leave out.
+// Defaults of optional settings.
 const (
-	defaultConnections    = 64
-	defaultMaxEntries     = 9
-	defaultStoreWrites    = 100
-	defaultTimelineEvents = 20_000
-	defaultPrefix         = "/balsamgauge/"
+	defaultConnectionsPerExecutor = 64
+	defaultMaxEntries             = 9
+	defaultStoreWritesPerSecond   = 100
+	defaultTimelineEvents         = 20_000
+	defaultStorePrefix            = "/balsamgauge/"
 )
 
-// Settings are those of one entry process.
+// Settings are the settings of one entry process.
 type Settings struct {
-	// Name begins the entry's ID, and tells it apart in logs and in the time
-	// line.
+	// Name is the prefix of the entry's ID and identifies the entry in logs and
+	// in the time line.
 	Name   string `toml:"name"`
 	Region string `toml:"region"`
 	AZ     string `toml:"az"`
-	// VM is the platform's name of the VM that the entry runs on. With it, the
-	// others notice that the platform took the VM away. It may be empty.
+	// VM is the platform's name for the VM that the entry runs on. The other
+	// entries use it to detect that the platform removed the VM. It is optional.
 	VM string `toml:"vm"`
 	// Callers, PeerListener and Admin are the addresses to listen on.
 	Callers      string `toml:"callers"`
 	PeerListener string `toml:"peer_listener"`
 	Admin        string `toml:"admin"`
-	// Peers are addresses of other entries. More are learned from the
-	// configuration; these are needed when the store is down at the start.
+	// Peers are addresses of other entries. The configuration contains those of
+	// the voters; Peers are needed if the store is unavailable at the start.
 	Peers []string `toml:"peers"`
-	// Store is the address of the store's JSON gateway, and StorePrefix what
-	// all keys of the deployment begin with.
+	// Store is the address of the store's JSON gateway, and StorePrefix the
+	// prefix of all keys of the deployment.
 	Store       string `toml:"store"`
 	StorePrefix string `toml:"store_prefix"`
 	// VMList is the address of the platform's list of VMs.
 	VMList string `toml:"vm_list"`
-	// OperatorKeyHash is the SHA-256 of the operators' credential.
+	// OperatorKeyHash is the SHA-256 hash of the operators' credential, in
+	// hexadecimal.
 	OperatorKeyHash string `toml:"operator_key_hash"`
-	// MaxEntries is the most entries that run at once. The connections that an
-	// executor allows are divided by it.
+	// MaxEntries is the largest number of entries that run concurrently. The
+	// connections that an executor allows are divided evenly among them.
 	MaxEntries             int `toml:"max_entries"`
 	ConnectionsPerExecutor int `toml:"connections_per_executor"`
-	// StoreWritesPerSecond is what all entries together may spend on the
-	// records of tasks.
+	// StoreWritesPerSecond is the limit of all entries together for writes of
+	// task records.
 	StoreWritesPerSecond int    `toml:"store_writes_per_second"`
 	TimelineEvents       int    `toml:"timeline_events"`
 	LogLevel             string `toml:"log_level"`
 }
 
-// Load reads and checks a settings file. The error, if any, lists all faults
-// with their positions.
+// Load reads and checks a settings file. The error, if any, lists all errors in
+// the file with their positions.
 func Load(path string) (set Settings, err error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -67,13 +69,14 @@
 	return Parse(path, data)
 }
 
-// Parse checks the text of a settings file.
+// Parse decodes and checks the contents of a settings file. The name appears in
+// the positions of errors.
 func Parse(name string, data []byte) (set Settings, err error) {
 	set = Settings{
-		StorePrefix:            defaultPrefix,
+		StorePrefix:            defaultStorePrefix,
 		MaxEntries:             defaultMaxEntries,
-		ConnectionsPerExecutor: defaultConnections,
-		StoreWritesPerSecond:   defaultStoreWrites,
+		ConnectionsPerExecutor: defaultConnectionsPerExecutor,
+		StoreWritesPerSecond:   defaultStoreWritesPerSecond,
 		TimelineEvents:         defaultTimelineEvents,
 		LogLevel:               "info",
 	}
@@ -152,7 +155,7 @@
 	}
 }
 
-// ConnectionsPerVM is the entry's part of the connections to one executor.
+// ConnectionsPerVM returns the entry's share of the connections to one executor.
 func (set Settings) ConnectionsPerVM() int {
 	return set.ConnectionsPerExecutor / set.MaxEntries
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestParse checks one settings file for each case in testdata.
+// TestParse compares the errors of each settings file in testdata with its golden
+// file.
 func TestParse(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.toml")
 	assert.NilError(t, err)
@@ -29,8 +30,9 @@
 	}
 }
 
-// TestExamplesAreFine checks the settings files of both deployments.
-func TestExamplesAreFine(t *testing.T) {
+// TestExamplesAreValid checks the settings files of both example deployments. All
+// entries together must stay within the connections that an executor allows.
+func TestExamplesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../examples/*/e*.toml")
 	assert.NilError(t, err)
 	assert.Equal(t, len(paths), 17)
