--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
-// Package transport makes HTTP transports that notice connections that went
-// silent.
+// Package transport creates HTTP transports that detect connections whose other
+// end has stopped responding.
 package transport
 
 import (
@@ -13,23 +13,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// Limits of connections within a region.
+// Timeouts of connections within a region.
 const (
-	// dialTimeout is far above the longest round trip within a region, 2 ms.
+	// dialTimeout is far above the longest round-trip time within a region,
+	// which is 2 ms.
 	dialTimeout = 700 * time.Millisecond
-	// unackedTimeout is how long sent bytes may stay unacknowledged before the
-	// kernel gives the connection up.
+	// unackedTimeout is the time that sent bytes may stay unacknowledged before
+	// the kernel closes the connection.
 	unackedTimeout = 1500 * time.Millisecond
-	// idleTimeout closes connections that weren't used for a while; VMs allow
-	// few.
+	// idleTimeout is the time after which unused connections are closed, because
+	// VMs allow only few.
 	idleTimeout = 20 * time.Second
 )
 
-// ErrNotSent means that no byte of a call can have reached the other side.
+// ErrNotSent is returned for a call of which no byte can have reached the other
+// end.
 var ErrNotSent = errors.New("call was not sent")
 
-// New returns a transport that keeps a number of connections to each address.
-// Dials that fail are ErrNotSent.
+// New returns a transport that opens at most the given number of connections to
+// each address and keeps them for reuse. Failed dials return ErrNotSent.
 func New(connections int) *http.Transport {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: time.Second, Interval: time.Second, Count: 2,
@@ -47,10 +49,12 @@
 	}
 }
 
+// setUnackedTimeout sets the TCP_USER_TIMEOUT option of a socket before it
+// connects.
 func setUnackedTimeout(_, _ string, raw syscall.RawConn) error {
-	var failed error
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedTimeout/time.Millisecond))
 	})
-	return errors.Join(err, failed)
+	return errors.Join(err, sockErr)
 }
