--- a/internal/netfail/netfail.go
+++ b/internal/netfail/netfail.go
@@ -1,4 +1,4 @@
-// Package netfail tells apart the failures of the network.
+// Package netfail classifies network errors.
 package netfail
 
 import (
@@ -6,8 +6,8 @@
 	"net"
 )
 
-// IsDialError reports whether a call failed before there was a connection, so
-// that no byte of it can have arrived.
+// IsDialError reports whether a call failed before a connection was established,
+// so that no byte of it can have reached the other end.
 func IsDialError(err error) bool {
 	var opErr *net.OpError
 	return errors.As(err, &opErr) && opErr.Op == "dial"
