--- a/internal/source/diagnostic.go
+++ b/internal/source/diagnostic.go
@@ -7,15 +7,16 @@
 	"strings"
 )
 
-// A Position is a place in a file. Lines and columns count from 1; zero means
-// that the place is the file as a whole.
+// A Position is a position in a file. Lines and columns count from 1; line zero
+// stands for the file as a whole.
 type Position struct {
 	File   string
 	Line   int
 	Column int
 }
 
-// String returns the position as file:line:column.
+// String returns the position as file:line:column, or only the file if it stands
+// for the whole file.
 func (pos Position) String() string {
 	if pos.Line == 0 {
 		return pos.File
@@ -29,7 +30,7 @@
 	Message  string
 }
 
-// Diagnostics is an error that holds all that is wrong with a set of files.
+// Diagnostics is an error that lists all errors in a set of files.
 type Diagnostics []Diagnostic
 
 // Error returns one line for each diagnostic, sorted by position.
@@ -42,7 +43,7 @@
 }
 
 // Sorted returns the diagnostics in the order of file, line, column and
-// message, without repeats.
+// message, without duplicates.
 func (dgs Diagnostics) Sorted() Diagnostics {
 	sorted := slices.Clone(dgs)
 	slices.SortFunc(sorted, func(a, b Diagnostic) int {
@@ -56,7 +57,7 @@
 	return slices.Compact(sorted)
 }
 
-// AsError returns nil when there are no diagnostics.
+// AsError returns the sorted diagnostics as an error, or nil if there are none.
 func (dgs Diagnostics) AsError() error {
 	if len(dgs) == 0 {
 		return nil
--- a/internal/source/doc.go
+++ b/internal/source/doc.go
@@ -1,6 +1,6 @@
-// Package source decodes TOML files strictly and keeps the position of each
-// key, so that every error names its file, line and column.
+// Package source decodes TOML files strictly and records the position of each
+// key, so that every error is reported with its file, line and column.
 //
-// It assumes files of at most a few megabytes: the whole file is held in
+// It is meant for files of at most a few megabytes: a whole file is held in
 // memory while it is decoded.
 package source
--- a/internal/source/file.go
+++ b/internal/source/file.go
@@ -10,34 +10,35 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// maxValueErrors bounds how many values of a wrong type one file may report.
+// maxValueErrors is the largest number of values of a wrong type that are
+// reported for one file.
 const maxValueErrors = 100
 
-// A File is one decoded TOML file with the position of each of its keys.
+// A File holds the positions of the keys in a decoded TOML file, and its errors.
 type File struct {
 	name string
-	// positions maps a dotted path, with array indexes as parts of their own
-	// ("pool.2.budget"), to the place of its key.
+	// positions maps the dotted path of a key to its position. Indexes of arrays
+	// are components of the path, as in "pool.2.budget".
 	positions map[string]Position
-	// Diagnostics holds what has been found wrong with the file so far.
+	// Diagnostics holds the errors found in the file so far.
 	Diagnostics Diagnostics
 }
 
-// Decode reads data into target, which points to a struct with toml tags.
-// Syntax errors, unknown keys and values of a wrong type are all collected in
-// the diagnostics of the file that it returns.
+// Decode decodes data into target, a pointer to a struct with toml tags. Syntax
+// errors, unknown keys and values of a wrong type are all collected in the
+// diagnostics of the returned file.
 func Decode(name string, data []byte, target any) *File {
 	fil := &File{name: name, positions: map[string]Position{}}
 	if !fil.decodeValues(data, target) {
 		return fil
 	}
-	fil.index(data)
+	fil.indexKeys(data)
 	return fil
 }
 
-// decodeValues blanks each line whose value has a wrong type and decodes
-// again, so that one wrong value does not hide the next. It reports whether
-// the syntax is right.
+// decodeValues decodes data into target. The decoder stops at the first value of a
+// wrong type, so its line is replaced by an empty one and decoding starts again,
+// to find the errors after it. It reports whether the syntax is valid.
 func (fil *File) decodeValues(data []byte, target any) bool {
 	lines := bytes.SplitAfter(bytes.Clone(data), []byte("\n"))
 	for range maxValueErrors {
@@ -55,7 +56,7 @@
 		case errors.As(err, &wrong):
 			row, col := wrong.Position()
 			fil.add(Position{fil.name, row, col}, strings.TrimPrefix(wrong.Error(), "toml: "))
-			if len(wrong.Key()) == 0 || !blank(lines, row) {
+			if len(wrong.Key()) == 0 || !blankLine(lines, row) {
 				return false
 			}
 		default:
@@ -66,7 +67,9 @@
 	return false
 }
 
-func blank(lines [][]byte, row int) bool {
+// blankLine replaces a line that assigns a value by an empty one. It reports
+// whether it did.
+func blankLine(lines [][]byte, row int) bool {
 	if row < 1 || row > len(lines) {
 		return false
 	}
@@ -79,13 +82,14 @@
 }
 
 func (fil *File) addUnknown(missing *toml.StrictMissingError) {
-	for _, one := range missing.Errors {
-		row, col := one.Position()
-		fil.add(Position{fil.name, row, col}, fmt.Sprintf("unknown key %q", strings.Join(one.Key(), ".")))
+	for _, unknown := range missing.Errors {
+		row, col := unknown.Position()
+		fil.add(Position{fil.name, row, col}, fmt.Sprintf("unknown key %q", strings.Join(unknown.Key(), ".")))
 	}
 }
 
-func (fil *File) index(data []byte) {
+// indexKeys records the position of each key and table.
+func (fil *File) indexKeys(data []byte) {
 	psr := unstable.Parser{}
 	psr.Reset(data)
 	prefix := ""
@@ -109,8 +113,8 @@
 	}
 }
 
-// keyPath returns the dotted path of an expression's key. A part that names an
-// array of tables stands for the array's last element.
+// keyPath returns the dotted path of an expression's key and its range in the
+// source. The path of an array of tables refers to the array's last element.
 func keyPath(expr *unstable.Node, counts map[string]int) (path string, raw unstable.Range) {
 	keys := expr.Key()
 	for first := true; keys.Next(); first = false {
@@ -133,24 +137,24 @@
 	return prefix + "." + path
 }
 
-// Addf records an error at the key with the given path, or at the nearest
-// table around it.
+// Addf adds an error at the position of the key with the given path, or of the
+// nearest enclosing table.
 func (fil *File) Addf(path, format string, args ...any) {
 	fil.add(fil.Position(path), fmt.Sprintf(format, args...))
 }
 
-// Position returns the place of the key with the given path, or of the nearest
-// table around it.
+// Position returns the position of the key with the given path, or of the nearest
+// enclosing table.
 func (fil *File) Position(path string) Position {
 	for path != "" {
 		if pos, ok := fil.positions[path]; ok {
 			return pos
 		}
-		cut := strings.LastIndexByte(path, '.')
-		if cut < 0 {
+		dot := strings.LastIndexByte(path, '.')
+		if dot < 0 {
 			break
 		}
-		path = path[:cut]
+		path = path[:dot]
 	}
 	return Position{File: fil.name}
 }
