--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,5 +1,6 @@
-// Package workerclient speaks the platform's protocol for workers: tasks are started
-// under leases, polled and stopped.
+// Package workerclient is a client of the platform's protocol for workers. A
+// worker is a VM that runs tasks. Each task is started under a lease; polls
+// return the state of tasks and renew their leases.
 package workerclient
 
 import (
@@ -16,7 +17,7 @@
 	"github.com/balsamgauge/balsamgauge/internal/netfail"
 )
 
-// callTimeout bounds a call to a worker.
+// callTimeout is the time a worker has to respond to a call.
 const callTimeout = time.Second
 
 // Paths of the protocol.
@@ -24,48 +25,49 @@
 	PathStart = "/v1/start"
 	PathPoll  = "/v1/poll"
 	PathStop  = "/v1/stop"
-	// PathCheckpoint and PathThrottle are part of the platform's protocol. The
-	// entries do not use them yet.
+	// PathCheckpoint and PathThrottle are part of the platform's protocol but not
+	// used by the entries yet.
 	PathCheckpoint = "/v1/checkpoint"
 	PathThrottle   = "/v1/throttle"
 )
 
-// StartRequest asks a worker to run a task.
+// StartRequest is a request to run a task.
 type StartRequest struct {
 	TaskID string `json:"task_id"`
-	// Attempt fences earlier starts of the task.
+	// Attempt is the fencing token: a worker refuses earlier attempts at the
+	// task.
 	Attempt int    `json:"attempt"`
 	Queue   string `json:"queue"`
 	Payload []byte `json:"payload,omitempty"`
 	LeaseMS int64  `json:"lease_ms"`
-	// Checkpoint is where an earlier attempt left off, or empty.
+	// Checkpoint is the state from which to resume an earlier attempt, or empty.
 	Checkpoint []byte `json:"checkpoint,omitempty"`
 }
 
-// CheckpointResponse is where a task stands.
+// CheckpointResponse contains a checkpoint of a running task.
 type CheckpointResponse struct {
 	Checkpoint []byte `json:"checkpoint,omitempty"`
 }
 
-// ThrottleRequest asks a worker to run a task at a part of its speed.
+// ThrottleRequest is a request to run a task at reduced speed.
 type ThrottleRequest struct {
 	effect.TaskAttempt
-	// Percent is from 1 to 100.
+	// Percent is the percentage of full speed, from 1 to 100.
 	Percent int `json:"percent"`
 }
 
-// PollRequest asks for the state of tasks and renews their leases.
+// PollRequest queries the state of tasks and renews their leases.
 type PollRequest struct {
 	Tasks   []effect.TaskAttempt `json:"tasks"`
 	LeaseMS int64                `json:"lease_ms"`
 }
 
-// PollResponse is a worker's report.
+// PollResponse contains the state of the tasks that a worker reports.
 type PollResponse struct {
 	Tasks []event.WorkerTask `json:"tasks"`
 }
 
-// Client calls workers. It is safe for concurrent use.
+// Client sends requests to workers. It is safe for concurrent use.
 type Client struct {
 	http *http.Client
 }
@@ -75,9 +77,10 @@
 	return &Client{http: &http.Client{Timeout: callTimeout}}
 }
 
-// Start asks a worker to run a task. The event says what is known of it.
+// Start requests that a worker runs a task. The event reports whether the worker
+// accepted it, refused it or may have accepted it.
 func (cli *Client) Start(ctx context.Context, eff effect.StartTask) event.TaskStartEnded {
-	end := event.TaskStartEnded{Work: eff.Work, Attempt: eff.Attempt}
+	ended := event.TaskStartEnded{Work: eff.Work, Attempt: eff.Attempt}
 	req := StartRequest{
 		TaskID: eff.TaskID, Attempt: eff.Attempt, Queue: eff.Queue,
 		Payload: eff.Payload, LeaseMS: eff.Lease.Milliseconds(),
@@ -85,18 +88,18 @@
 	status, err := cli.post(ctx, eff.Address, PathStart, req, nil)
 	switch {
 	case err != nil:
-		end.Reason = err.Error()
-		end.Refused = netfail.IsDialError(err)
+		ended.Reason = err.Error()
+		ended.Refused = netfail.IsDialError(err)
 	case status == http.StatusOK:
-		end.Accepted = true
+		ended.Accepted = true
 	default:
-		end.Refused = true
-		end.Reason = fmt.Sprintf("the worker answered %d", status)
+		ended.Refused = true
+		ended.Reason = fmt.Sprintf("the worker answered %d", status)
 	}
-	return end
+	return ended
 }
 
-// Poll asks a worker for its tasks.
+// Poll queries the state of tasks at a worker and renews their leases.
 func (cli *Client) Poll(ctx context.Context, eff effect.PollWorker) event.WorkerReported {
 	var rsp PollResponse
 	req := PollRequest{Tasks: eff.Tasks, LeaseMS: eff.Lease.Milliseconds()}
@@ -107,12 +110,15 @@
 	return event.WorkerReported{VM: eff.VM, Reached: true, Tasks: rsp.Tasks}
 }
 
-// Stop asks a worker to stop a task. It is tried once; a worker that misses it
-// stops the task when its lease lapses.
+// Stop requests that a worker stops a task. The request is sent once and errors
+// are ignored: a worker that does not receive it stops the task when the lease
+// expires.
 func (cli *Client) Stop(ctx context.Context, eff effect.StopTask) {
 	_, _ = cli.post(ctx, eff.Address, PathStop, eff.TaskAttempt, nil)
 }
 
+// post sends a request and decodes the response into rsp, if rsp is not nil and
+// the status is 200.
 func (cli *Client) post(ctx context.Context, address, path string, req, rsp any) (status int, err error) {
 	defer func() {
 		if err != nil {
