--- a/internal/vmlist/client.go
+++ b/internal/vmlist/client.go
@@ -1,5 +1,5 @@
-// Package vmlist reads the platform's list of VMs, which lags behind what
-// happens.
+// Package vmlist is a client of the platform's list of VMs. The list lags behind
+// the actual state of the VMs.
 package vmlist
 
 import (
@@ -13,15 +13,15 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/vm"
 )
 
-// listTimeout bounds a reading of the list.
+// listTimeout is the time that reading the list may take.
 const listTimeout = 2 * time.Second
 
-// List is the platform's answer.
+// List is the body of the platform's response.
 type List struct {
 	VMs []vm.VM `json:"vms"`
 }
 
-// Client reads the list at one address. It is safe for concurrent use.
+// Client reads the list from one address. It is safe for concurrent use.
 type Client struct {
 	address string
 	http    *http.Client
@@ -32,7 +32,7 @@
 	return &Client{address: address, http: &http.Client{Timeout: listTimeout}}
 }
 
-// List reads the list.
+// List returns the VMs in the list.
 func (cli *Client) List(ctx context.Context) (vms []vm.VM, err error) {
 	defer func() {
 		if err != nil {
@@ -52,8 +52,7 @@
 		return nil, fmt.Errorf("status %d", hrs.StatusCode)
 	}
 	var lst List
-	// Only a body that was read to its end leaves the connection for the next
-	// call.
+	// The body is read to its end; otherwise the connection could not be reused.
 	data, err := io.ReadAll(hrs.Body)
 	if err != nil {
 		return nil, err
