--- a/internal/outernames/doc.go
+++ b/internal/outernames/doc.go
@@ -1,4 +1,4 @@
-// Package outernames holds the tests that pin the names by which stored records,
-// messages and logs refer to fields and values. Entries of different versions
-// run beside each other and read what the other has written.
+// Package outernames contains tests that pin the names of fields and values in
+// stored records, messages and logs. Entries of different versions run
+// concurrently and read the records and messages of each other.
 package outernames
--- a/internal/outernames/names_test.go
+++ b/internal/outernames/names_test.go
@@ -25,8 +25,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// encoded lists the roots of what is written for another process: its outer
-// name, the key of its struct tags and a value of its type.
+// encoded lists the types that are encoded for other processes or for the store:
+// the name of the record, the key of its struct tags and a value of the type.
 var encoded = []struct {
 	name, tag string
 	value     any
@@ -52,15 +52,15 @@
 	{"peers hello", "json", peerlink.Hello{}},
 }
 
-// messages lists one value of each type of message between entries.
+// messages contains one value of each type of message between entries.
 var messages = []message.Message{
 	message.Heartbeat{}, message.Edits{}, message.SnapshotRequest{}, message.Snapshot{}, message.Demand{}, message.Grants{},
 	message.PermitRequest{}, message.PermitTransfer{}, message.Freeze{}, message.Frozen{}, message.TaskQuery{}, message.TaskReply{},
 	message.ReserveKey{}, message.ReserveKeyReply{}, message.ReleaseKey{}, message.Recall{}, message.KeyHandover{},
 }
 
-// TestNames guards against a renamed field, value or type of message that
-// processes of another version would not read.
+// TestNames guards against a renamed field or a changed message number, which
+// processes of another version could not decode.
 func TestNames(t *testing.T) {
 	var lines []string
 	for _, one := range encoded {
@@ -76,7 +76,7 @@
 	golden.Assert(t, strings.Join(lines, "\n")+"\n", "fields.golden")
 }
 
-// TestValues guards against renamed values of logs and metrics.
+// TestValues guards against renamed values in logs and metrics.
 func TestValues(t *testing.T) {
 	lines := []string{"verdict"}
 	for val := intake.VerdictOK; val <= intake.VerdictUnknown; val++ {
@@ -93,8 +93,8 @@
 	golden.Assert(t, strings.Join(lines, "\n")+"\n", "values.golden")
 }
 
-// fields lists the names and kinds of a type's encoded fields, nested ones
-// indented below theirs.
+// fields returns the names and kinds of a type's encoded fields. The fields of a
+// nested struct follow it, indented.
 func fields(typ reflect.Type, tag, indent string, above []reflect.Type) (lines []string) {
 	for typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Slice || typ.Kind() == reflect.Map {
 		typ = typ.Elem()
@@ -122,7 +122,7 @@
 	return lines
 }
 
-// kind describes a type without the names that this program gives it.
+// kind returns the kind of a type, which does not depend on the type's name.
 func kind(typ reflect.Type) string {
 	switch typ.Kind() {
 	case reflect.Pointer:
