--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -262,8 +262,8 @@
 	return next
 }
 
-// timerNames holds the metric names of event types that differ from the name of
-// the type, so that renaming a type leaves its metric as it was.
+// timerNames maps event types to their metric names where these differ from the
+// name of the type, so that renaming a type does not rename its metric.
 var timerNames = map[reflect.Type]string{
 	reflect.TypeFor[event.MessageReceived]():   "peersaid",
 	reflect.TypeFor[event.TaskQueried]():       "taskasked",
--- a/internal/runner/timer_test.go
+++ b/internal/runner/timer_test.go
@@ -16,7 +16,7 @@
 	"gotest.tools/v3/golden"
 )
 
-// timedEvents lists one event of each type.
+// timedEvents contains one event of each type.
 var timedEvents = []event.Event{
 	event.AcceptingStopped{}, event.AttemptEnded{}, event.FleetListed{}, event.MembersGone{}, event.ChangeRequested{},
 	event.PeerDown{}, event.MessageReceived{}, event.PeerUp{}, event.RequestArrived{}, event.RequestCancelled{},
@@ -25,8 +25,7 @@
 	event.WorkerReported{},
 }
 
-// TestTimerNames guards against a renamed type of event that renames the metric
-// of its reduction.
+// TestTimerNames guards against a metric that is renamed with its event type.
 func TestTimerNames(t *testing.T) {
 	rnr := &Runner{registry: metrics.NewRegistry(), timers: map[reflect.Type]metrics.Timer{}}
 	var names []string
@@ -41,7 +40,8 @@
 	golden.Assert(t, strings.Join(names, "\n")+"\n", "timers.golden")
 }
 
-// TestTimerNamesCoverAllEvents counts the types of events in the source.
+// TestTimerNamesCoverAllEvents counts the event types in the source, so that
+// timedEvents can't miss a new one.
 func TestTimerNamesCoverAllEvents(t *testing.T) {
 	paths, err := filepath.Glob("../core/event/*.go")
 	assert.NilError(t, err)
