--- a/internal/runner/answers_test.go
+++ b/internal/runner/answers_test.go
@@ -110,8 +110,8 @@
 	fix.t.Fatal("timed out")
 }
 
-// call sends a caller's request and returns the status, outcome and refusal code
-// of its response.
+// call sends a caller's request and returns the status, outcome and refusal
+// code of its response.
 func (fix *fixture) call(method, path, keyName, body, work string, header ...string) string {
 	fix.t.Helper()
 	req, err := http.NewRequest(method, "http://"+fix.runner.CallersListener.Addr().String()+path, strings.NewReader(body))
@@ -172,7 +172,8 @@
 	}
 }
 
-// poolFull fills the queue of the empty pool with one request and sends another.
+// poolFull fills the queue of the empty pool with one request and sends
+// another.
 func (fix *fixture) poolFull() string {
 	waiting := make(chan string, 1)
 	go func() { waiting <- fix.call("POST", "/empty/first", "one", "x", "") }()
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -59,9 +59,9 @@
 	return key.Hash(secret)
 }
 
-// errBodyIncomplete is returned for a request body that could not be read to its
-// end.
-var errBodyIncomplete = errors.New("the body did not arrive whole")
+// errBodyIncomplete is returned for a request body that could not be read to
+// its end.
+var errBodyIncomplete = errors.New("request body is incomplete")
 
 func readBody(wrt http.ResponseWriter, req *http.Request, limit int64) (body []byte, err error) {
 	body, err = io.ReadAll(http.MaxBytesReader(wrt, req.Body, limit))
@@ -72,7 +72,7 @@
 	return body, err
 }
 
-func refuseBody(wrt http.ResponseWriter, err error) {
+func writeBodyRefusal(wrt http.ResponseWriter, err error) {
 	ref := outcome.Refusal{Outcome: outcome.NotRun, Code: outcome.CodeBodyTooLarge, Message: "The body is larger than the route allows."}
 	if errors.Is(err, errBodyIncomplete) {
 		ref = outcome.Refusal{Outcome: outcome.NotRun, Code: outcome.CodeInvalid, Message: "The body did not arrive whole."}
@@ -88,7 +88,7 @@
 	}
 	body, err := readBody(wrt, req, rnr.bodyLimit(req.URL.Path))
 	if err != nil {
-		refuseBody(wrt, err)
+		writeBodyRefusal(wrt, err)
 		return
 	}
 	exc := rnr.exchanges.Open(exchange.Request{
@@ -130,7 +130,7 @@
 func (rnr *Runner) serveSubmit(wrt http.ResponseWriter, req *http.Request) {
 	payload, err := readBody(wrt, req, table.MaxTaskPayload+1)
 	if err != nil {
-		refuseBody(wrt, err)
+		writeBodyRefusal(wrt, err)
 		return
 	}
 	exc := rnr.exchanges.Open(exchange.Request{})
--- a/internal/runner/operators.go
+++ b/internal/runner/operators.go
@@ -164,8 +164,8 @@
 	rnr.requestChange(wrt, req, table.AZSet{AZ: req.PathValue("az"), Out: direction == "out"}, 0, "")
 }
 
-// requestChange submits a change of the configuration and writes its result. The
-// secret of a new key is returned only if the change was accepted.
+// requestChange submits a change of the configuration and writes its result.
+// The secret of a new key is returned only if the change was accepted.
 func (rnr *Runner) requestChange(wrt http.ResponseWriter, req *http.Request, chg table.Change, base int64, secret string) {
 	exc := rnr.exchanges.Open(exchange.Request{})
 	rnr.Post(event.ChangeRequested{Request: exc.ID, Change: chg, Base: base})
@@ -184,8 +184,8 @@
 	writeJSON(wrt, status, rsp)
 }
 
-// serveMemberGone accepts an operator's confirmation that a member has ended, so
-// that it can be removed from the voters.
+// serveMemberGone accepts an operator's confirmation that a member has ended,
+// so that it can be removed from the voters.
 func (rnr *Runner) serveMemberGone(wrt http.ResponseWriter, req *http.Request) {
 	id := req.PathValue("member")
 	if _, votes := rnr.config.Load().Voter(id); !votes || id == rnr.id {
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -177,8 +177,8 @@
 // Shutdown starts a graceful shutdown.
 func (rnr *Runner) Shutdown() { rnr.Post(event.ShutdownRequested{}) }
 
-// Kill stops the entry immediately, without a graceful shutdown. Tests use it to
-// simulate the loss of the entry's VM.
+// Kill stops the entry immediately, without a graceful shutdown. Tests use it
+// to simulate the loss of the entry's VM.
 func (rnr *Runner) Kill() { rnr.exit() }
 
 // Run runs the entry until it has shut down.
