--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -19,8 +19,8 @@
 // Timeouts and limits of an attempt.
 const (
 	dialTimeout = 500 * time.Millisecond
-	// maxResponseBytes is the largest response that is accepted. A response is held
-	// in memory until it is complete.
+	// maxResponseBytes is the largest response that is accepted. A response is
+	// held in memory until it is complete.
 	maxResponseBytes = 8 << 20
 	// idleTimeout is the time after which an idle connection is closed. A
 	// connection that has been idle for longer may have become unresponsive.
@@ -71,8 +71,8 @@
 	Reason  string
 }
 
-// Do makes an attempt. It returns when the response is complete, the attempt has
-// failed, or the context ends.
+// Do makes an attempt. It returns when the response is complete, the attempt
+// has failed, or the context ends.
 func (cli *Client) Do(ctx context.Context, att Attempt) Result {
 	tgt := cli.target(att.VM)
 	if att.Repeatable {
@@ -142,8 +142,8 @@
 	return time.Until(deadline) / 2
 }
 
-// roundTrip sends a request and reads its response. It calls onConn, if not nil,
-// when it has a connection.
+// roundTrip sends a request and reads its response. It calls onConn, if not
+// nil, when it has a connection.
 func roundTrip(ctx context.Context, transport *http.Transport, att Attempt, onConn func(httptrace.GotConnInfo)) Result {
 	var connected atomic.Bool
 	trace := &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -199,8 +199,8 @@
 	}
 }
 
-// isOpenEnded reports whether only the end of the connection marks the end of the
-// response body, so that truncation can't be detected.
+// isOpenEnded reports whether only the end of the connection marks the end of
+// the response body, so that truncation can't be detected.
 func isOpenEnded(hrs *http.Response) bool {
 	return hrs.ContentLength < 0 && len(hrs.TransferEncoding) == 0 && !hrs.Uncompressed
 }
@@ -240,10 +240,10 @@
 	}
 }
 
-// hopByHopHeaders are the headers that are not forwarded to an upstream: those
+// strippedHeaders are the headers that are not forwarded to an upstream: those
 // that concern a single connection (RFC 9110, section 7.6.1) and the caller's
 // credential for the entry.
-var hopByHopHeaders = []string{
+var strippedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Authorization",
 }
@@ -255,7 +255,7 @@
 		return nil, fmt.Errorf("build upstream request: %w", err)
 	}
 	hrq.Header = att.Request.Header.Clone()
-	for _, name := range hopByHopHeaders {
+	for _, name := range strippedHeaders {
 		hrq.Header.Del(name)
 	}
 	// The transport retries a request by itself if it can get the body again or
--- a/internal/upstream/client_test.go
+++ b/internal/upstream/client_test.go
@@ -54,8 +54,8 @@
 	return runs
 }
 
-// TestFaultsAreClassified injects each fault and compares the client's result with
-// the number of runs at the executor.
+// TestFaultsAreClassified injects each fault and compares the client's result
+// with the number of runs at the executor.
 func TestFaultsAreClassified(t *testing.T) {
 	cases := []struct {
 		name  string
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestConnectionsStayWithinLimit sends repeatable and other requests concurrently
-// and checks the number of connections that the executor saw.
+// TestConnectionsStayWithinLimit sends repeatable and other requests
+// concurrently and checks the number of connections that the executor saw.
 func TestConnectionsStayWithinLimit(t *testing.T) {
 	const conns = 7
 	fix := newFixture(t, conns)
@@ -132,9 +132,9 @@
 	assert.Equal(t, len(fix.recorder.Runs()), 60)
 }
 
-// TestSilentConnections makes every open connection unresponsive without closing
-// it. Repeatable requests, which may be sent on such a connection, and all
-// others, which never are, must still be answered.
+// TestSilentConnections makes every open connection unresponsive without
+// closing it. Repeatable requests, which may be sent on such a connection, and
+// all others, which never are, must still be answered.
 func TestSilentConnections(t *testing.T) {
 	fix := newFixture(t, 7)
 	var grp sync.WaitGroup
--- a/internal/upstream/limit.go
+++ b/internal/upstream/limit.go
@@ -46,8 +46,9 @@
 	once  sync.Once
 }
 
-// lingerTimeout is the longest time a closed connection keeps its slot while the
-// VM has not closed its end. A VM whose CPUs are busy takes more than 100 ms.
+// lingerTimeout is the longest time a closed connection keeps its slot while
+// the VM has not closed its end. A VM whose CPUs are busy takes more than 100
+// ms.
 const lingerTimeout = time.Second
 
 // Close closes the connection without waiting. The slot is released when the VM
