--- a/internal/etcd/client.go
+++ b/internal/etcd/client.go
@@ -31,7 +31,8 @@
 }
 
 // New returns a client for a store's address, such as http://127.0.0.1:2379.
-// The client adds the prefix to all keys. The registry counts the calls by kind.
+// The client adds the prefix to all keys. The registry counts the calls by
+// kind.
 func New(endpoint, prefix string, registry metrics.Registry) *Client {
 	return &Client{
 		endpoint: strings.TrimSuffix(endpoint, "/"),
@@ -163,8 +164,8 @@
 	return json.Unmarshal(data, rsp)
 }
 
-// Watch calls changed whenever a key changes. It returns when the context ends or
-// the store closes the watch.
+// Watch calls changed whenever a key changes. It returns when the context ends
+// or the store closes the watch.
 func (cli *Client) Watch(ctx context.Context, key string, changed func()) (err error) {
 	defer func() {
 		if err != nil {
--- a/internal/outernames/names_test.go
+++ b/internal/outernames/names_test.go
@@ -25,8 +25,9 @@
 	"gotest.tools/v3/golden"
 )
 
-// encoded lists the types that are encoded for other processes or for the store:
-// the name of the record, the key of its struct tags and a value of the type.
+// encoded lists the types that are encoded for other processes or for the
+// store: the name of the record, the key of its struct tags and a value of the
+// type.
 var encoded = []struct {
 	name, tag string
 	value     any
@@ -93,8 +94,8 @@
 	golden.Assert(t, strings.Join(lines, "\n")+"\n", "values.golden")
 }
 
-// fields returns the names and kinds of a type's encoded fields. The fields of a
-// nested struct follow it, indented.
+// fields returns the names and kinds of a type's encoded fields. The fields of
+// a nested struct follow it, indented.
 func fields(typ reflect.Type, tag, indent string, above []reflect.Type) (lines []string) {
 	for typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Slice || typ.Kind() == reflect.Map {
 		typ = typ.Elem()
--- a/internal/peerlink/incoming.go
+++ b/internal/peerlink/incoming.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// serveIncoming receives from one accepted connection until it ends. It replaces
-// an older connection from the same peer.
+// serveIncoming receives from one accepted connection until it ends. It
+// replaces an older connection from the same peer.
 func (lks *Links) serveIncoming(conn net.Conn) {
 	defer func() {
 		_ = conn.Close()
--- a/internal/peerlink/links.go
+++ b/internal/peerlink/links.go
@@ -70,8 +70,8 @@
 }
 
 // SetAddresses replaces the set of peer addresses to stay connected to. In
-// addition, Links dials back every peer from which it has accepted a connection.
-// All dialers end with ctx.
+// addition, Links dials back every peer from which it has accepted a
+// connection. All dialers end with ctx.
 func (lks *Links) SetAddresses(ctx context.Context, addresses []string) {
 	lks.mu.Lock()
 	defer lks.mu.Unlock()
@@ -128,7 +128,8 @@
 	}
 }
 
-// handshake exchanges hello messages on a new connection and returns the peer's.
+// handshake exchanges hello messages on a new connection and returns the
+// peer's.
 func (lks *Links) handshake(conn net.Conn) (peer Hello, err error) {
 	now := time.Now()
 	if err := conn.SetDeadline(now.Add(dialTimeout)); err != nil {
--- a/internal/peerlink/links_test.go
+++ b/internal/peerlink/links_test.go
@@ -78,8 +78,8 @@
 func isDown(evt event.Event) bool    { _, ok := evt.(event.PeerDown); return ok }
 func isMessage(evt event.Event) bool { _, ok := evt.(event.MessageReceived); return ok }
 
-// TestMessagesFlowBothWaysWhenOneSideDials checks that an entry dials back a peer
-// whose address it learns only from an accepted connection.
+// TestMessagesFlowBothWaysWhenOneSideDials checks that an entry dials back a
+// peer whose address it learns only from an accepted connection.
 func TestMessagesFlowBothWaysWhenOneSideDials(t *testing.T) {
 	a, b := newEndpoint(t, "a", "r"), newEndpoint(t, "b", "r")
 	a.connect(t, b.address)
@@ -173,9 +173,9 @@
 	b.await(t, 1, isMessage)
 }
 
-// TestMalformedFramesEndOnlyTheirConnection sends an oversized frame, an invalid
-// frame and an HTTP request. Each connection must be closed, and the connection
-// of another peer must stay up.
+// TestMalformedFramesEndOnlyTheirConnection sends an oversized frame, an
+// invalid frame and an HTTP request. Each connection must be closed, and the
+// connection of another peer must stay up.
 func TestMalformedFramesEndOnlyTheirConnection(t *testing.T) {
 	a, b := newEndpoint(t, "a", "r"), newEndpoint(t, "b", "r")
 	a.connect(t, b.address)
--- a/internal/peerlink/outgoing.go
+++ b/internal/peerlink/outgoing.go
@@ -72,8 +72,8 @@
 	return err
 }
 
-// serveOutgoing writes messages and pings until the connection ends or a ping is
-// not acknowledged in time.
+// serveOutgoing writes messages and pings until the connection ends or a ping
+// is not acknowledged in time.
 func (lks *Links) serveOutgoing(out *outgoing) error {
 	readErr := make(chan error, 1)
 	go func() { readErr <- lks.readPongs(out.conn) }()
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings file of one entry process. It is read once
-// at the start of the process.
+// Package settings reads the settings file of one entry process. It is read
+// once at the start of the process.
 package settings
 
 import (
@@ -155,7 +155,8 @@
 	}
 }
 
-// ConnectionsPerVM returns the entry's share of the connections to one executor.
+// ConnectionsPerVM returns the entry's share of the connections to one
+// executor.
 func (set Settings) ConnectionsPerVM() int {
 	return set.ConnectionsPerExecutor / set.MaxEntries
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestParse compares the errors of each settings file in testdata with its golden
-// file.
+// TestParse compares the errors of each settings file in testdata with its
+// golden file.
 func TestParse(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.toml")
 	assert.NilError(t, err)
@@ -30,8 +30,9 @@
 	}
 }
 
-// TestExamplesAreValid checks the settings files of both example deployments. All
-// entries together must stay within the connections that an executor allows.
+// TestExamplesAreValid checks the settings files of both example deployments.
+// All entries together must stay within the connections that an executor
+// allows.
 func TestExamplesAreValid(t *testing.T) {
 	paths, err := filepath.Glob("../../examples/*/e*.toml")
 	assert.NilError(t, err)
--- a/internal/source/diagnostic.go
+++ b/internal/source/diagnostic.go
@@ -15,8 +15,8 @@
 	Column int
 }
 
-// String returns the position as file:line:column, or only the file if it stands
-// for the whole file.
+// String returns the position as file:line:column, or only the file if it
+// stands for the whole file.
 func (pos Position) String() string {
 	if pos.Line == 0 {
 		return pos.File
--- a/internal/source/file.go
+++ b/internal/source/file.go
@@ -14,7 +14,8 @@
 // reported for one file.
 const maxValueErrors = 100
 
-// A File holds the positions of the keys in a decoded TOML file, and its errors.
+// A File holds the positions of the keys in a decoded TOML file, and its
+// errors.
 type File struct {
 	name string
 	// positions maps the dotted path of a key to its position. Indexes of arrays
@@ -36,9 +37,9 @@
 	return fil
 }
 
-// decodeValues decodes data into target. The decoder stops at the first value of a
-// wrong type, so its line is replaced by an empty one and decoding starts again,
-// to find the errors after it. It reports whether the syntax is valid.
+// decodeValues decodes data into target. The decoder stops at the first value
+// of a wrong type, so its line is replaced by an empty one and decoding starts
+// again, to find the errors after it. It reports whether the syntax is valid.
 func (fil *File) decodeValues(data []byte, target any) bool {
 	lines := bytes.SplitAfter(bytes.Clone(data), []byte("\n"))
 	for range maxValueErrors {
@@ -143,8 +144,8 @@
 	fil.add(fil.Position(path), fmt.Sprintf(format, args...))
 }
 
-// Position returns the position of the key with the given path, or of the nearest
-// enclosing table.
+// Position returns the position of the key with the given path, or of the
+// nearest enclosing table.
 func (fil *File) Position(path string) Position {
 	for path != "" {
 		if pos, ok := fil.positions[path]; ok {
--- a/internal/vmlist/client.go
+++ b/internal/vmlist/client.go
@@ -1,5 +1,5 @@
-// Package vmlist is a client of the platform's list of VMs. The list lags behind
-// the actual state of the VMs.
+// Package vmlist is a client of the platform's list of VMs. The list lags
+// behind the actual state of the VMs.
 package vmlist
 
 import (
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -77,8 +77,8 @@
 	return &Client{http: &http.Client{Timeout: callTimeout}}
 }
 
-// Start requests that a worker runs a task. The event reports whether the worker
-// accepted it, refused it or may have accepted it.
+// Start requests that a worker runs a task. The event reports whether the
+// worker accepted it, refused it or may have accepted it.
 func (cli *Client) Start(ctx context.Context, eff effect.StartTask) event.TaskStartEnded {
 	ended := event.TaskStartEnded{Work: eff.Work, Attempt: eff.Attempt}
 	req := StartRequest{
