--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -16,9 +16,9 @@
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 )
 
-// emulator plays a fleet, a store and a sequence of dispatchers on a virtual
-// clock. All chance comes from its seed. It checks what must always hold, from
-// what the VMs run and what the store holds.
+// emulator simulates a fleet, a store and a sequence of dispatchers on a
+// virtual clock. All randomness comes from its seed. It checks the scheduler's
+// invariants against what the VMs run and what the store holds.
 type emulator struct {
 	rng   *rand.Rand
 	now   time.Time
@@ -31,58 +31,62 @@
 	names   []string
 	store   *emulatedStore
 
-	sched   *State
-	opt     Options
-	inbox   []Event
-	term    int64
-	down    bool
-	waiting bool
+	sched          *State
+	opt            Options
+	inbox          []Event
+	term           int64
+	dispatcherDown bool
+	wakePending    bool
 
-	// faults
+	// Fault probabilities.
 	loseAnswer, loseOrder, lateOrder float64
 	loseCommit, lateCommit           float64
-	// blind says that changes of jobs do not reach the dispatcher.
-	blind bool
-	// killOnUpkeep is how often the dispatcher is killed as it orders upkeep.
+	// watchSilent suppresses changes of jobs to the dispatcher.
+	watchSilent bool
+	// killOnUpkeep is the probability that the dispatcher is killed as it orders
+	// upkeep.
 	killOnUpkeep float64
 
-	// advisor answers questions about steps; nil if there is none.
+	// advisor answers queries about steps; nil if there is none.
 	advisor *emulatedAdvisor
 
-	// wave is the one that was asked for, with what is stored of it.
+	// wave is the requested wave, and begun its stored progress.
 	wave  *upkeep.Wave
 	begun []string
 
-	truth  map[job.Task]*taskTruth
-	broken []string
-	notes  map[string]int
+	truth      map[job.Task]*taskTruth
+	violations []string
+	decisions  map[string]int
 	// finished holds when each job was stored as ended.
 	finished map[job.ID]time.Time
 	specs    map[job.ID]job.Spec
-	// known holds the lives to which connections are kept.
-	known map[string]bool
-	// duration gives a task's true run time; failing says that it always fails.
+	// connected holds the IDs of the VMs to which connections are open.
+	connected map[string]bool
+	// duration returns a task's actual run time; failing reports whether its
+	// runs fail.
 	duration func(tas job.Task, ste job.Step) time.Duration
 	failing  func(tas job.Task) bool
 }
 
-// taskTruth is what the VMs have done of a task.
+// taskTruth is the actual state of a task on the VMs.
 type taskTruth struct {
 	running   int
 	done      bool
 	acked     bool
 	failedEnd int
-	// starts holds when its runs started; failedAcked holds when those runs ended
-	// that failed and whose ends were acknowledged within the lease.
+	// starts holds when the task's runs started. failedAcked holds when runs
+	// failed whose ends were acknowledged within the lease.
 	starts, failedAcked []time.Time
 }
 
+// timer calls a function at a time; order breaks ties.
 type timer struct {
 	at    time.Time
 	order int
 	fire  func()
 }
 
+// timers is a heap of timers.
 type timers []timer
 
 func (tms timers) Len() int { return len(tms) }
@@ -101,44 +105,46 @@
 	return last
 }
 
-// emulatedVM is one machine with its present life.
+// emulatedVM is a machine with its current VM.
 type emulatedVM struct {
-	vm    worker.VM
-	up    bool
-	cut   bool
-	born  time.Time
-	fence int64
-	runs  map[job.Task]*emulatedRun
-	ends  []worker.End
-	// endTimes holds when each end of this life happened, by its number; lapsed is
-	// when the lease last ended.
-	endTimes map[int64]time.Time
-	lapsed   time.Time
-	number   int64
-	tomb     map[job.Task]int
-	deadline time.Duration
-	lives    int
-	waiter   func()
-	fails    bool
-	// away says that the machine is down for upkeep or moves; served holds the
-	// waves whose upkeep has begun.
-	away   bool
-	served map[int64]bool
-}
-
-// sorted returns the tasks that run, in the order of their names.
+	vm          worker.VM
+	up          bool
+	partitioned bool
+	born        time.Time
+	fence       int64
+	runs        map[job.Task]*emulatedRun
+	ends        []worker.End
+	// endTimes holds the time of each end of this VM by its number; lapsed is
+	// when the lease last expired.
+	endTimes     map[int64]time.Time
+	lapsed       time.Time
+	number       int64
+	tombstones   map[job.Task]int
+	deadline     time.Duration
+	incarnations int
+	waiter       func()
+	failsTasks   bool
+	// offline reports whether the machine is down for upkeep or moving.
+	// upkeepBegun holds the waves in which its upkeep has begun.
+	offline     bool
+	upkeepBegun map[int64]bool
+}
+
+// sorted returns the active tasks in the order of their names.
 func (vm *emulatedVM) sorted() []job.Task {
 	return slices.SortedFunc(maps.Keys(vm.runs), func(one, oth job.Task) int { return strings.Compare(one.String(), oth.String()) })
 }
 
+// emulatedRun is a run that is active on a VM.
 type emulatedRun struct {
-	run   int
-	since time.Time
-	size  job.Size
-	owner string
-	over  bool
+	run     int
+	since   time.Time
+	size    job.Size
+	account string
+	ended   bool
 }
 
+// emulatedStore holds the stored items by key.
 type emulatedStore struct {
 	rev   kv.Revision
 	items map[string]kv.Item
@@ -149,23 +155,25 @@
 	emulatedTTL     = 1500 * time.Millisecond
 )
 
+// newEmulator returns an emulator without VMs and without a dispatcher.
 func newEmulator(seed uint64, cat catalog.Catalog) *emulator {
 	start := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	return &emulator{
 		rng: rand.New(rand.NewPCG(seed, 1)), now: start, start: start, catalog: cat, vms: map[string]*emulatedVM{},
-		store: &emulatedStore{rev: 1, items: map[string]kv.Item{}}, truth: map[job.Task]*taskTruth{}, notes: map[string]int{},
-		finished: map[job.ID]time.Time{}, specs: map[job.ID]job.Spec{}, known: map[string]bool{},
+		store: &emulatedStore{rev: 1, items: map[string]kv.Item{}}, truth: map[job.Task]*taskTruth{}, decisions: map[string]int{},
+		finished: map[job.ID]time.Time{}, specs: map[job.ID]job.Spec{}, connected: map[string]bool{},
 		duration: func(_ job.Task, ste job.Step) time.Duration { return ste.Estimate },
 		failing:  func(job.Task) bool { return false },
 	}
 }
 
+// after calls a function after a time.
 func (emu *emulator) after(span time.Duration, fire func()) {
 	emu.order++
 	heap.Push(&emu.queue, timer{emu.now.Add(span), emu.order, fire})
 }
 
-// run plays until a time after the start.
+// run advances the clock to a time after the start.
 func (emu *emulator) run(until time.Duration) {
 	end := emu.start.Add(until)
 	for emu.queue.Len() > 0 && !emu.queue[0].at.After(end) {
@@ -176,11 +184,12 @@
 	emu.now = end
 }
 
+// fail records a violated invariant.
 func (emu *emulator) fail(format string, args ...any) {
-	emu.broken = append(emu.broken, fmt.Sprintf("%6d ms: ", emu.now.Sub(emu.start).Milliseconds())+fmt.Sprintf(format, args...))
+	emu.violations = append(emu.violations, fmt.Sprintf("%6d ms: ", emu.now.Sub(emu.start).Milliseconds())+fmt.Sprintf(format, args...))
 }
 
-// addVMs adds VMs to a pool, some to a rack.
+// addVMs adds VMs to a pool, with a number of them on each rack.
 func (emu *emulator) addVMs(pool string, count, rack int, size job.Size) {
 	for i := range count {
 		name := fmt.Sprintf("%s-%d", pool, i)
@@ -194,42 +203,45 @@
 	}
 }
 
-// boot begins a new life.
+// boot starts a new VM on a machine.
 func (emu *emulator) boot(vm *emulatedVM) {
-	vm.lives++
+	vm.incarnations++
 	vm.up = true
 	vm.born = emu.now
-	vm.vm.ID = fmt.Sprintf("%s.%d", vm.vm.Address, vm.lives)
+	vm.vm.ID = fmt.Sprintf("%s.%d", vm.vm.Address, vm.incarnations)
 	vm.vm.Born = emu.now.UnixMilli()
 	vm.fence, vm.number, vm.deadline = 0, 0, 0
-	vm.runs, vm.ends, vm.tomb = map[job.Task]*emulatedRun{}, nil, map[job.Task]int{}
+	vm.runs, vm.ends, vm.tombstones = map[job.Task]*emulatedRun{}, nil, map[job.Task]int{}
 	vm.endTimes, vm.lapsed = map[int64]time.Time{}, time.Time{}
 	one := vm.vm
-	emu.after(emulatedLatency, func() { emu.tell(VMRegistered{VM: one}) })
+	emu.after(emulatedLatency, func() { emu.deliver(VMRegistered{VM: one}) })
 }
 
-// crash ends a life. Its registration goes after a while.
-func (emu *emulator) crash(vm *emulatedVM, back time.Duration) {
+// crash ends a VM, which boots again after a time. Its registration expires
+// after 4.5 s.
+func (emu *emulator) crash(vm *emulatedVM, downtime time.Duration) {
 	if !vm.up {
 		return
 	}
 	vm.up = false
 	for name, run := range vm.runs {
-		emu.endTruth(name, run)
+		emu.recordEnd(name, run)
 	}
 	vm.runs = map[job.Task]*emulatedRun{}
 	id := vm.vm.ID
-	emu.after(4500*time.Millisecond, func() { emu.tell(VMUnregistered{ID: id}) })
-	emu.after(back, func() { emu.boot(vm) })
+	emu.after(4500*time.Millisecond, func() { emu.deliver(VMUnregistered{ID: id}) })
+	emu.after(downtime, func() { emu.boot(vm) })
 }
 
-func (emu *emulator) endTruth(name job.Task, run *emulatedRun) {
-	if !run.over {
-		run.over = true
+// recordEnd counts a run as no longer active, once.
+func (emu *emulator) recordEnd(name job.Task, run *emulatedRun) {
+	if !run.ended {
+		run.ended = true
 		emu.truthOf(name).running--
 	}
 }
 
+// truthOf returns the actual state of a task, and creates it if necessary.
 func (emu *emulator) truthOf(name job.Task) *taskTruth {
 	tru := emu.truth[name]
 	if tru == nil {
@@ -239,39 +251,41 @@
 	return tru
 }
 
-// clock is a VM's steady clock; it may be 2% slow.
+// clock returns a VM's monotonic clock, which is 2% slow.
 func (emu *emulator) clock(vm *emulatedVM) time.Duration {
 	return time.Duration(float64(emu.now.Sub(vm.born)) * 0.98)
 }
 
-// tell brings an event to the dispatcher, if there is one.
-func (emu *emulator) tell(evt Event) {
-	if emu.sched == nil || emu.down {
+// deliver queues an event for the dispatcher, if there is one.
+func (emu *emulator) deliver(evt Event) {
+	if emu.sched == nil || emu.dispatcherDown {
 		return
 	}
 	emu.inbox = append(emu.inbox, evt)
 	emu.wake(3 * time.Millisecond)
 }
 
+// wake schedules a call of Reduce unless one is scheduled.
 func (emu *emulator) wake(span time.Duration) {
-	if emu.waiting {
+	if emu.wakePending {
 		return
 	}
-	emu.waiting = true
+	emu.wakePending = true
 	term := emu.term
 	emu.after(span, func() {
-		emu.waiting = false
-		if term != emu.term || emu.down {
+		emu.wakePending = false
+		if term != emu.term || emu.dispatcherDown {
 			return
 		}
 		emu.reduce()
 	})
 }
 
+// reduce passes the queued events to the dispatcher and performs the effects.
 func (emu *emulator) reduce() {
 	events := emu.inbox
 	emu.inbox = nil
-	if !emu.blind {
+	if !emu.watchSilent {
 		events = append(events, JobWatchProgressed{At: emu.now})
 	}
 	for _, eff := range emu.sched.Reduce(emu.now, events) {
@@ -280,41 +294,43 @@
 	emu.wake(40 * time.Millisecond)
 }
 
-// takeOver begins the term of a new dispatcher, which loads what is stored.
+// takeOver starts the tenure of a new dispatcher, which loads the stored
+// state.
 func (emu *emulator) takeOver(opt Options) {
 	emu.term++
 	emu.store.rev++
 	opt.Since, opt.Revision, opt.Term = emu.now, emu.store.rev, emu.term
 	emu.opt = opt
-	emu.sched, emu.inbox, emu.down, emu.waiting = New(opt), nil, false, false
-	emu.known = map[string]bool{}
-	emu.tell(CatalogChanged{Catalog: emu.catalog})
+	emu.sched, emu.inbox, emu.dispatcherDown, emu.wakePending = New(opt), nil, false, false
+	emu.connected = map[string]bool{}
+	emu.deliver(CatalogChanged{Catalog: emu.catalog})
 	if emu.advisor != nil {
-		emu.advisor.busy = 0
-		emu.tell(AdvisorSlotsChanged{Count: emu.advisor.askers})
+		emu.advisor.inFlight = 0
+		emu.deliver(AdvisorSlotsChanged{Count: emu.advisor.slots})
 	}
 	for _, name := range emu.names {
 		if vm := emu.vms[name]; vm.up {
-			emu.tell(VMRegistered{VM: vm.vm})
+			emu.deliver(VMRegistered{VM: vm.vm})
 		}
 	}
-	// The store takes its time to tell the jobs; VMs may answer before.
+	// Loading the jobs takes time; VMs may report before.
 	term := emu.term
-	emu.after(emulatedLoad, func() {
+	emu.after(emulatedLoadTime, func() {
 		if term == emu.term {
-			emu.tellJobs()
+			emu.deliverJobs()
 		}
 	})
 }
 
-// emulatedLoad is how long the jobs take to load.
-const emulatedLoad = 30 * time.Millisecond
+// emulatedLoadTime is the time that loading the jobs takes.
+const emulatedLoadTime = 30 * time.Millisecond
 
-func (emu *emulator) tellJobs() {
+// deliverJobs delivers the stored state to a new dispatcher.
+func (emu *emulator) deliverJobs() {
 	for _, itm := range emu.store.sorted(job.LivePrefix) {
 		id, cancelled := job.ParseLiveKey(itm.Key)
 		if cancelled {
-			emu.tell(JobCancelled{ID: id})
+			emu.deliver(JobCancelled{ID: id})
 			continue
 		}
 		evt := JobAccepted{Revision: itm.Revision}
@@ -323,12 +339,12 @@
 			evt.Progress, _ = job.Unmarshal[job.Progress](pro.Value)
 			evt.ProgressRevision = pro.Revision
 		}
-		emu.tell(evt)
+		emu.deliver(evt)
 	}
 	if emu.wave != nil {
-		emu.tell(WaveRequested{Wave: *emu.wave, Begun: emu.begun})
+		emu.deliver(WaveRequested{Wave: *emu.wave, Begun: emu.begun})
 	}
-	emu.tell(Loaded{})
+	emu.deliver(Loaded{})
 	var ended EndedJobsListed
 	for _, itm := range emu.store.sorted(job.EndedPrefix) {
 		out, err := job.Unmarshal[job.Outcome](itm.Value)
@@ -337,21 +353,21 @@
 		}
 		ended.Jobs = append(ended.Jobs, EndedJob{ID: job.ID(itm.Key[len(job.EndedPrefix):]), At: out.At})
 	}
-	emu.tell(ended)
+	emu.deliver(ended)
 }
 
-// killDispatcher ends the dispatcher; another one takes over when the lease
-// has ended.
+// killDispatcher ends the dispatcher. Another one takes over when its lease
+// has expired.
 func (emu *emulator) killDispatcher() {
-	if emu.down || emu.sched == nil {
+	if emu.dispatcherDown || emu.sched == nil {
 		return
 	}
-	emu.down = true
+	emu.dispatcherDown = true
 	opt := emu.opt
 	emu.after(emulatedTTL, func() { emu.takeOver(opt) })
 }
 
-// submit stores a job and tells the dispatcher.
+// submit stores a job and delivers it to the dispatcher.
 func (emu *emulator) submit(spe job.Spec) {
 	spe.Accepted = emu.now
 	raw, err := job.Marshal(spe)
@@ -360,40 +376,41 @@
 	}
 	emu.specs[spe.ID] = spe
 	rev := emu.store.put(job.LiveKey(spe.ID), raw)
-	emu.after(emulatedLatency, func() { emu.tell(JobAccepted{Spec: spe, Revision: rev}) })
+	emu.after(emulatedLatency, func() { emu.deliver(JobAccepted{Spec: spe, Revision: rev}) })
 }
 
-// cancel stores that a job is cancelled, unless it has ended.
+// cancel stores the cancellation of a job, unless the job has ended.
 func (emu *emulator) cancel(id job.ID) {
 	if _, live := emu.store.items[job.LiveKey(id)]; !live {
 		return
 	}
 	emu.store.put(job.CancelKey(id), nil)
-	if !emu.blind {
-		emu.after(emulatedLatency, func() { emu.tell(JobCancelled{ID: id}) })
+	if !emu.watchSilent {
+		emu.after(emulatedLatency, func() { emu.deliver(JobCancelled{ID: id}) })
 	}
 }
 
+// perform performs an effect. Its answer is delivered later.
 func (emu *emulator) perform(eff Effect) {
 	switch eff := eff.(type) {
 	case Poll:
-		emu.known[eff.VM.ID] = true
-		emu.performLook(eff)
+		emu.connected[eff.VM.ID] = true
+		emu.performPoll(eff)
 	case Start:
-		emu.carry(eff.VM, func(vm *emulatedVM, term int64) worker.Result { return emu.startOn(vm, eff, term) }, func(res worker.Result) Event {
+		emu.call(eff.VM, func(vm *emulatedVM, term int64) worker.Result { return emu.startOn(vm, eff, term) }, func(res worker.Result) Event {
 			return StartAnswered{VM: eff.VM, Task: eff.Task, Run: eff.Run, Result: res}
 		})
 	case Stop:
-		emu.carry(eff.VM, func(vm *emulatedVM, term int64) worker.Result { return emu.stopOn(vm, eff, term) }, func(res worker.Result) Event {
+		emu.call(eff.VM, func(vm *emulatedVM, term int64) worker.Result { return emu.stopOn(vm, eff, term) }, func(res worker.Result) Event {
 			return StopAnswered{VM: eff.VM, Task: eff.Task, Run: eff.Run, Result: res}
 		})
 	case Commit:
 		emu.performCommit(eff)
 	case QueryAdvisor:
-		emu.performAdvise(eff)
+		emu.performQueryAdvisor(eff)
 	case ListMachines:
-		asked := emu.now
-		emu.after(emulatedLatency, func() { emu.tell(MachinesListed{RequestedAt: asked, Machines: emu.machines()}) })
+		requestedAt := emu.now
+		emu.after(emulatedLatency, func() { emu.deliver(MachinesListed{RequestedAt: requestedAt, Machines: emu.machines()}) })
 	case Upkeep:
 		emu.performUpkeep(eff)
 	case Move:
@@ -401,19 +418,20 @@
 	case SaveWave:
 		term := emu.term
 		emu.after(emulatedLatency, func() {
-			if term == emu.term && !emu.down {
+			if term == emu.term && !emu.dispatcherDown {
 				emu.begun = eff.Begun
 			}
 		})
 	case StepDown:
 		emu.killDispatcher()
 	case Forget:
-		delete(emu.known, eff.VM.ID)
+		delete(emu.connected, eff.VM.ID)
 	case LogDecision:
-		emu.notes[eff.Name]++
+		emu.decisions[eff.Name]++
 	}
 }
 
+// machines returns the list of machines.
 func (emu *emulator) machines() (all []worker.Machine) {
 	for _, name := range emu.names {
 		vm := emu.vms[name]
@@ -421,7 +439,7 @@
 		if !vm.up {
 			mac.State = worker.MachineDown
 		}
-		if vm.away {
+		if vm.offline {
 			mac.State = worker.MachineUpkeep
 		}
 		all = append(all, mac)
@@ -429,28 +447,29 @@
 	return all
 }
 
-// askWave asks for the upkeep of all VMs.
-func (emu *emulator) askWave(wav upkeep.Wave) {
+// requestWave requests a wave of upkeep.
+func (emu *emulator) requestWave(wav upkeep.Wave) {
 	emu.wave = &wav
-	emu.tell(WaveRequested{Wave: wav})
+	emu.deliver(WaveRequested{Wave: wav})
 }
 
-// end ends a life without a trace, as an order for its machine does.
-func (emu *emulator) end(vm *emulatedVM, back time.Duration) {
-	vm.up, vm.away = false, true
+// shutDown ends a VM without reporting any ends, as a machine order does.
+func (emu *emulator) shutDown(vm *emulatedVM, downtime time.Duration) {
+	vm.up, vm.offline = false, true
 	for name, run := range vm.runs {
-		emu.endTruth(name, run)
+		emu.recordEnd(name, run)
 	}
 	vm.runs = map[job.Task]*emulatedRun{}
 	id := vm.vm.ID
-	emu.after(4500*time.Millisecond, func() { emu.tell(VMUnregistered{ID: id}) })
-	emu.after(back, func() {
-		vm.away = false
+	emu.after(4500*time.Millisecond, func() { emu.deliver(VMUnregistered{ID: id}) })
+	emu.after(downtime, func() {
+		vm.offline = false
 		emu.boot(vm)
 	})
 }
 
-// performUpkeep begins a machine's upkeep, unless it has begun before.
+// performUpkeep begins a machine's upkeep, unless it has begun before in the
+// same wave.
 func (emu *emulator) performUpkeep(eff Upkeep) {
 	if emu.rng.Float64() < emu.killOnUpkeep {
 		emu.after(time.Millisecond, emu.killDispatcher)
@@ -459,35 +478,35 @@
 	answer := func(res worker.MachineResult) {
 		emu.after(emulatedLatency, func() {
 			if term == emu.term {
-				emu.tell(MachineAnswered{Machine: eff.Machine, Wave: eff.Wave, Result: res})
+				emu.deliver(MachineAnswered{Machine: eff.Machine, Wave: eff.Wave, Result: res})
 			}
 		})
 	}
 	emu.after(emulatedLatency, func() {
 		vm := emu.vms[eff.Machine]
 		switch {
-		case vm.served[eff.Wave]:
+		case vm.upkeepBegun[eff.Wave]:
 			answer(worker.MachineOK)
 		case !vm.up:
 			answer(worker.MachineBusy)
 		default:
-			vm.served = map[int64]bool{eff.Wave: true}
+			vm.upkeepBegun = map[int64]bool{eff.Wave: true}
 			down := 0
 			for _, oth := range emu.vms {
-				if oth.away {
+				if oth.offline {
 					down++
 				}
 			}
 			if down >= emu.wave.Cap {
 				emu.fail("upkeep of %s begins while %d are down", eff.Machine, down)
 			}
-			emu.end(vm, 4*time.Second)
+			emu.shutDown(vm, 4*time.Second)
 			answer(worker.MachineOK)
 		}
 	})
 }
 
-// performMove moves a machine.
+// performMove moves a machine to another pool.
 func (emu *emulator) performMove(eff Move) {
 	term := emu.term
 	emu.after(emulatedLatency, func() {
@@ -496,35 +515,35 @@
 		if vm.up {
 			res = worker.MachineOK
 			if vm.vm.Pool != eff.Pool {
-				emu.end(vm, 1500*time.Millisecond)
+				emu.shutDown(vm, 1500*time.Millisecond)
 				vm.vm.Pool = eff.Pool
 			}
 		}
 		emu.after(emulatedLatency, func() {
 			if term == emu.term {
-				emu.tell(MachineAnswered{Machine: eff.Machine, Result: res})
+				emu.deliver(MachineAnswered{Machine: eff.Machine, Result: res})
 			}
 		})
 	})
 }
 
-// find returns the VM of a life that can be reached.
+// find returns the machine at a VM's address if it can be reached.
 func (emu *emulator) find(one worker.VM) *emulatedVM {
 	vm := emu.vms[one.Address]
-	if vm == nil || !vm.up || vm.cut {
+	if vm == nil || !vm.up || vm.partitioned {
 		return nil
 	}
 	return vm
 }
 
-// carry carries an order to a VM and its answer back; either may be lost, and
-// the order may be carried out late.
-func (emu *emulator) carry(one worker.VM, carryOut func(*emulatedVM, int64) worker.Result, answer func(worker.Result) Event) {
+// call sends an order to a VM and its answer back. Either may be lost, and the
+// order may be carried out late.
+func (emu *emulator) call(one worker.VM, execute func(*emulatedVM, int64) worker.Result, answer func(worker.Result) Event) {
 	term := emu.term
-	back := func(span time.Duration, res worker.Result) {
+	reply := func(span time.Duration, res worker.Result) {
 		emu.after(span, func() {
 			if term == emu.term {
-				emu.tell(answer(res))
+				emu.deliver(answer(res))
 			}
 		})
 	}
@@ -537,27 +556,28 @@
 		if vm.vm.ID != one.ID {
 			return worker.ResultOtherIncarnation, true
 		}
-		return carryOut(vm, term), true
+		return execute(vm, term), true
 	}
 	if chance < emu.lateOrder {
-		back(time.Second, worker.ResultUnknown)
+		reply(time.Second, worker.ResultUnknown)
 		emu.after(2*time.Second+time.Duration(emu.rng.Int64N(int64(10*time.Second))), func() { arrive() })
 		return
 	}
 	emu.after(emulatedLatency, func() {
 		if chance < emu.lateOrder+emu.loseOrder {
-			back(time.Second, worker.ResultUnknown)
+			reply(time.Second, worker.ResultUnknown)
 			return
 		}
 		res, ok := arrive()
 		if !ok || chance < emu.lateOrder+emu.loseOrder+emu.loseAnswer {
-			back(time.Second, worker.ResultUnknown)
+			reply(time.Second, worker.ResultUnknown)
 			return
 		}
-		back(emulatedLatency, res)
+		reply(emulatedLatency, res)
 	})
 }
 
+// extend extends a VM's lease and ends its runs when the lease expires.
 func (emu *emulator) extend(vm *emulatedVM, deadline time.Duration) {
 	if deadline <= vm.deadline {
 		return
@@ -571,11 +591,12 @@
 		}
 		vm.lapsed = emu.now
 		for _, name := range vm.sorted() {
-			emu.endOn(vm, name, vm.runs[name], worker.EndLeaseExpired)
+			emu.endRun(vm, name, vm.runs[name], worker.EndLeaseExpired)
 		}
 	})
 }
 
+// startOn starts a run on a VM, which checks the order as an executor does.
 func (emu *emulator) startOn(vm *emulatedVM, ord Start, term int64) worker.Result {
 	if term < vm.fence {
 		return worker.ResultFenced
@@ -584,7 +605,7 @@
 	if run := vm.runs[ord.Task]; run != nil && run.run == ord.Run {
 		return worker.ResultOK
 	}
-	if ord.Run <= vm.tomb[ord.Task] || vm.runs[ord.Task] != nil {
+	if ord.Run <= vm.tombstones[ord.Task] || vm.runs[ord.Task] != nil {
 		return worker.ResultOldRun
 	}
 	if ord.Deadline <= emu.clock(vm) {
@@ -601,14 +622,14 @@
 		if emu.catalog.Pools[0].EnforcesCapacity {
 			return worker.ResultNoRoom
 		}
-		emu.fail("%s run %d brings %s over its capacity", ord.Task, ord.Run, vm.vm.ID)
+		emu.fail("%s run %d exceeds the capacity of %s", ord.Task, ord.Run, vm.vm.ID)
 	}
 	if emu.advisor != nil && !emu.advisor.allows(emu.now, ord) {
 		emu.advisor.rejected++
 		return worker.ResultNoTicket
 	}
 	emu.checkStart(vm, ord, spe)
-	run := &emulatedRun{run: ord.Run, since: emu.now, size: ste.Reservation(), owner: spe.Account}
+	run := &emulatedRun{run: ord.Run, since: emu.now, size: ste.Reservation(), account: spe.Account}
 	vm.runs[ord.Task] = run
 	emu.truthOf(ord.Task).running++
 	emu.truthOf(ord.Task).starts = append(emu.truthOf(ord.Task).starts, emu.now)
@@ -620,15 +641,15 @@
 	return worker.ResultOK
 }
 
-// work ends a run when its task has been worked on. A gang works only while all
-// members run; the last one to come ends it.
+// work ends a run after the task's run time. A gang works only while all
+// members run, and ends with the member that started last.
 func (emu *emulator) work(vm *emulatedVM, ord Start, ste job.Step, run *emulatedRun) {
 	id := vm.vm.ID
 	runs := func() bool { return vm.vm.ID == id && vm.runs[ord.Task] == run }
 	incomplete := func() bool { return ste.Gang && len(emu.gang(ord.Task, ord.Run, ste.Count)) < ste.Count }
 	emu.after(emulatedGangTimeout, func() {
 		if runs() && incomplete() {
-			emu.endOn(vm, ord.Task, run, worker.EndGangIncomplete)
+			emu.endRun(vm, ord.Task, run, worker.EndGangIncomplete)
 		}
 	})
 	emu.after(emu.duration(ord.Task, ste), func() {
@@ -636,10 +657,10 @@
 			return
 		}
 		kind := worker.EndDone
-		if emu.failing(ord.Task) || vm.fails {
+		if emu.failing(ord.Task) || vm.failsTasks {
 			kind = worker.EndFailed
 		}
-		emu.endOn(vm, ord.Task, run, kind)
+		emu.endRun(vm, ord.Task, run, kind)
 		if ste.Gang {
 			emu.endGangOf(ord.Task, ord.Run, ste.Count, kind)
 		}
@@ -649,7 +670,7 @@
 // emulatedGangTimeout is how long a member of a gang waits for the others.
 const emulatedGangTimeout = 3 * time.Second
 
-// gang returns the VMs of the members of a gang that run, by member.
+// gang returns the VMs of the active members of a gang, by member.
 func (emu *emulator) gang(name job.Task, run, count int) map[job.Task]*emulatedVM {
 	members := map[job.Task]*emulatedVM{}
 	for i := range count {
@@ -663,7 +684,7 @@
 	return members
 }
 
-// endGangOf ends the other members of a gang of which one has ended.
+// endGangOf ends the other members of a gang after the end of one.
 func (emu *emulator) endGangOf(name job.Task, run, count int, kind worker.EndKind) {
 	if kind != worker.EndDone {
 		kind = worker.EndGangBroken
@@ -672,12 +693,12 @@
 	for i := range count {
 		name.Index = i
 		if vm := members[name]; vm != nil {
-			emu.endOn(vm, name, vm.runs[name], kind)
+			emu.endRun(vm, name, vm.runs[name], kind)
 		}
 	}
 }
 
-// checkStart checks what must hold when a task starts.
+// checkStart checks the invariants of the start of a task.
 func (emu *emulator) checkStart(vm *emulatedVM, ord Start, spe job.Spec) {
 	tru := emu.truthOf(ord.Task)
 	if tru.running > 0 {
@@ -701,19 +722,19 @@
 		sum := spe.Steps[ord.Task.Step].Size.CPU
 		for _, oth := range emu.vms {
 			for _, run := range oth.runs {
-				if run.owner == spe.Account {
+				if run.account == spe.Account {
 					sum += run.size.CPU
 				}
 			}
 		}
 		if sum > acc.Cap.CPU {
-			emu.fail("%s brings account %s to %d of %d", ord.Task, spe.Account, sum, acc.Cap.CPU)
+			emu.fail("%s raises the usage of account %s to %d, above its cap of %d", ord.Task, spe.Account, sum, acc.Cap.CPU)
 		}
 	}
 }
 
-// checkAttempts checks that no run of a task started after as many acknowledged
-// failures as its queue allows.
+// checkAttempts checks that no run of a task started after as many
+// acknowledged failures as its queue allows attempts.
 func (emu *emulator) checkAttempts(name job.Task) {
 	spe := emu.specs[name.Job]
 	if spe.Steps[name.Step].LongRunning {
@@ -733,10 +754,11 @@
 	}
 }
 
-func (emu *emulator) endOn(vm *emulatedVM, name job.Task, run *emulatedRun, kind worker.EndKind) {
-	emu.endTruth(name, run)
+// endRun ends a run on a VM and answers a waiting poll.
+func (emu *emulator) endRun(vm *emulatedVM, name job.Task, run *emulatedRun, kind worker.EndKind) {
+	emu.recordEnd(name, run)
 	delete(vm.runs, name)
-	vm.tomb[name] = max(vm.tomb[name], run.run)
+	vm.tombstones[name] = max(vm.tombstones[name], run.run)
 	vm.number++
 	vm.endTimes[vm.number] = emu.now
 	vm.ends = append(vm.ends, worker.End{Number: vm.number, Task: name, Run: run.run, Kind: kind})
@@ -753,24 +775,26 @@
 	}
 }
 
+// stopOn stops a run on a VM, or makes the VM reject its start.
 func (emu *emulator) stopOn(vm *emulatedVM, ord Stop, term int64) worker.Result {
 	if term < vm.fence {
 		return worker.ResultFenced
 	}
 	vm.fence = term
-	vm.tomb[ord.Task] = max(vm.tomb[ord.Task], ord.Run)
+	vm.tombstones[ord.Task] = max(vm.tombstones[ord.Task], ord.Run)
 	run := vm.runs[ord.Task]
 	if run != nil && run.run <= ord.Run {
 		emu.after(200*time.Millisecond, func() {
 			if vm.runs[ord.Task] == run {
-				emu.endOn(vm, ord.Task, run, worker.EndStopped)
+				emu.endRun(vm, ord.Task, run, worker.EndStopped)
 			}
 		})
 	}
 	return worker.ResultOK
 }
 
-func (emu *emulator) performLook(eff Poll) {
+// performPoll polls a VM. The poll fails after its waiting time and a second.
+func (emu *emulator) performPoll(eff Poll) {
 	sent, term := emu.now, emu.term
 	answered := false
 	answer := func(res worker.Result, rep worker.Report) {
@@ -780,7 +804,7 @@
 		answered = true
 		emu.after(emulatedLatency, func() {
 			if term == emu.term {
-				emu.tell(PollAnswered{VM: eff.VM, Sent: sent, Report: rep, Result: res})
+				emu.deliver(PollAnswered{VM: eff.VM, Sent: sent, Report: rep, Result: res})
 			}
 		})
 	}
@@ -818,6 +842,8 @@
 	})
 }
 
+// acknowledge removes the acknowledged ends of a VM, and checks that the store
+// holds them.
 func (emu *emulator) acknowledge(vm *emulatedVM, upTo int64) {
 	kept := vm.ends[:0]
 	for _, end := range vm.ends {
@@ -840,6 +866,7 @@
 	vm.ends = kept
 }
 
+// reportOf returns a VM's report of its runs and ends.
 func (emu *emulator) reportOf(vm *emulatedVM) worker.Report {
 	rep := worker.Report{Clock: emu.clock(vm), Born: vm.vm.Born, Ends: append([]worker.End(nil), vm.ends...)}
 	for _, name := range vm.sorted() {
@@ -849,6 +876,8 @@
 	return rep
 }
 
+// performCommit writes to the store. The answer may be lost, and the write may
+// be applied late.
 func (emu *emulator) performCommit(eff Commit) {
 	term := emu.term
 	chance := emu.rng.Float64()
@@ -861,7 +890,7 @@
 	answer := func(span time.Duration, rev kv.Revision, err error) {
 		emu.after(span, func() {
 			if term == emu.term {
-				emu.tell(Committed{Revision: rev, Err: err})
+				emu.deliver(Committed{Revision: rev, Err: err})
 			}
 		})
 	}
@@ -880,6 +909,7 @@
 	}
 }
 
+// commit applies a transaction if its conditions hold.
 func (emu *emulator) commit(txn kv.Txn) (rev kv.Revision, err error) {
 	con := &kv.ConflictError{}
 	failed := false
@@ -904,7 +934,8 @@
 	return rev, nil
 }
 
-// checkEnded checks a job that is stored as ended.
+// checkEnded checks the record of an ended job against the actual state of its
+// tasks.
 func (emu *emulator) checkEnded(id job.ID, raw []byte) {
 	emu.finished[id] = emu.now
 	out, err := job.Unmarshal[job.Outcome](raw)
@@ -934,12 +965,14 @@
 	}
 }
 
+// put stores an item at a new revision.
 func (sto *emulatedStore) put(key string, value []byte) kv.Revision {
 	sto.rev++
 	sto.items[key] = kv.Item{Key: key, Value: value, Revision: sto.rev}
 	return sto.rev
 }
 
+// sorted returns the items under a prefix in the order of their keys.
 func (sto *emulatedStore) sorted(prefix string) (items []kv.Item) {
 	for key, itm := range sto.items {
 		if len(key) >= len(prefix) && key[:len(prefix)] == prefix {
@@ -950,7 +983,7 @@
 	return items
 }
 
-// knowsDone reports whether the store holds that a task is done.
+// knowsDone reports whether the store records a task as done.
 func (sto *emulatedStore) knowsDone(tas job.Task) bool {
 	if _, ok := sto.items[job.EndedKey(tas.Job)]; ok {
 		return true
--- a/internal/core/scheduler/gang.go
+++ b/internal/core/scheduler/gang.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// trial counts the tasks of a stage that are to start on each VM.
+// trial is a tentative placement: the number of a stage's tasks planned on
+// each host.
 type trial map[*host]int
 
 // placeGang starts all tasks of a gang or none.
@@ -14,7 +15,7 @@
 		sta.breakGang(stg)
 		return
 	}
-	if !sta.underCap(stg, len(stg.tasks)) {
+	if !sta.withinCap(stg, len(stg.tasks)) {
 		return
 	}
 	run, checkpoint := 0, ""
@@ -24,19 +25,19 @@
 			return
 		}
 		run = max(run, tas.run)
-		// A checkpoint of any member is valid for the gang.
+		// A checkpoint of any member is valid for the whole gang.
 		if checkpoint == "" {
 			checkpoint = tas.checkpoint
 		}
 	}
-	for i, hos := range sta.chooseForGang(stg, hosts) {
+	for i, hos := range sta.chooseGangHosts(stg, hosts) {
 		stg.tasks[i].checkpoint = checkpoint
 		sta.start(hos, stg, i, run+1)
 	}
 }
 
-// breakGang stops the members of a gang that lacks some: they would wait for
-// the others until the VMs give them up.
+// breakGang stops the members of an incomplete gang. They would otherwise wait
+// for the others until the VMs time them out.
 func (sta *State) breakGang(stg *stage) {
 	for i := range stg.tasks {
 		if hos := stg.tasks[i].host; hos != nil {
@@ -45,21 +46,22 @@
 	}
 }
 
-// chooseForGang returns a VM for each member of a gang, or nothing if they don't
-// all fit. Gangs that are slow on several racks get one rack if one has room.
-func (sta *State) chooseForGang(stg *stage, hosts []*host) (chosen []*host) {
+// chooseGangHosts returns a host for each member of a gang, or nil if they do
+// not all fit. A gang that is slow across racks is placed on one rack if
+// possible.
+func (sta *State) chooseGangHosts(stg *stage, hosts []*host) (chosen []*host) {
 	if stg.step.SameRack {
 		for _, rack := range racksOf(stg, hosts) {
-			if chosen = sta.chooseAll(stg, rack); chosen != nil {
+			if chosen = sta.chooseHosts(stg, rack); chosen != nil {
 				return chosen
 			}
 		}
 	}
-	return sta.chooseAll(stg, hosts)
+	return sta.chooseHosts(stg, hosts)
 }
 
-// racksOf returns the VMs of each rack: first those of the rack where the
-// stage's data lies, the others in the order of their names.
+// racksOf groups hosts by rack. The rack with the stage's data comes first,
+// the others follow in the order of their names.
 func racksOf(stg *stage, hosts []*host) (racks [][]*host) {
 	byName := map[string][]*host{}
 	for _, hos := range hosts {
@@ -75,12 +77,12 @@
 	return racks
 }
 
-// chooseAll returns a VM for each task of a stage, or nothing if they don't all
-// fit.
-func (sta *State) chooseAll(stg *stage, hosts []*host) (chosen []*host) {
+// chooseHosts returns a host for each task of a stage, or nil if they do not
+// all fit.
+func (sta *State) chooseHosts(stg *stage, hosts []*host) (chosen []*host) {
 	tri := trial{}
 	for i := range stg.tasks {
-		hos := sta.choose(stg, i, hosts, tri)
+		hos := sta.chooseHost(stg, i, hosts, tri)
 		if hos == nil {
 			return nil
 		}
--- a/internal/core/scheduler/jobs.go
+++ b/internal/core/scheduler/jobs.go
@@ -8,7 +8,7 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/worker"
 )
 
-// accept takes in a job that is stored.
+// accept adds a stored job.
 func (sta *State) accept(evt JobAccepted) {
 	id := evt.Spec.ID
 	if _, ended := sta.ended.get(id); ended || sta.jobs[id] != nil {
@@ -26,15 +26,15 @@
 		sta.openOccurrence(liv)
 	}
 	for _, rec := range evt.Progress.Tasks {
-		sta.restore(liv, rec)
+		sta.restoreTask(liv, rec)
 	}
-	sta.arrive(liv)
-	sta.countAllowance(liv)
+	sta.countArrival(liv)
+	sta.chargeAllowance(liv)
 	sta.logDecision("job_taken", id, map[string]any{"queue": evt.Spec.Queue, "account": evt.Spec.Account, "excess": liv.excess, "revision": evt.Revision, "age_ms": sta.now.Sub(evt.Spec.Accepted).Milliseconds()})
 }
 
-// countAllowance counts a job against what its account is entitled to.
-func (sta *State) countAllowance(liv *liveJob) {
+// chargeAllowance charges a job to its account's allowance.
+func (sta *State) chargeAllowance(liv *liveJob) {
 	acc := sta.catalog.Account(liv.spec.Account)
 	if acc == nil || liv.spec.IsLongRunning() || liv.restored {
 		return
@@ -44,26 +44,26 @@
 	liv.excess = !within
 }
 
-// setDeadline works out the latency objective: the queue's slack times the
-// longest chain of steps, and its target.
+// setDeadline sets the deadline by the queue's latency objective: its slack
+// factor times the critical path, plus its target.
 func (sta *State) setDeadline(liv *liveJob) {
-	objective := sta.chain(liv.spec, nil)
+	objective := sta.criticalPath(liv.spec, nil)
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
 		objective = que.Objective(objective)
 	}
 	liv.deadline = liv.spec.Accepted.Add(objective)
 }
 
-// chain returns the longest chain of those steps that count, by what was learned
-// of the queue's estimates.
-func (sta *State) chain(spe job.Spec, counts func(step int) bool) time.Duration {
+// criticalPath returns the duration of the longest chain of dependent steps
+// among those that count. Estimates are scaled by the queue's run-time ratio.
+func (sta *State) criticalPath(spe job.Spec, counts func(step int) bool) time.Duration {
 	factor := sta.runtimeRatios[spe.Queue].factor()
 	return spe.CriticalPath(counts, func(ste job.Step) time.Duration {
-		return time.Duration(float64(ste.Estimate)*factor) + sta.adviceTime(spe.Queue)
+		return time.Duration(float64(ste.Estimate)*factor) + sta.advisorLatency(spe.Queue)
 	})
 }
 
-// openOccurrence makes the next occurrence's tasks.
+// openOccurrence creates the tasks of the job's next occurrence.
 func (sta *State) openOccurrence(liv *liveJob) {
 	occ := &occurrence{stages: make([]stage, len(liv.spec.Steps)), left: len(liv.spec.Steps)}
 	for i := range liv.spec.Steps {
@@ -79,8 +79,8 @@
 	liv.occs = append(liv.occs, occ)
 }
 
-// dueOccurrences opens occurrences whose time has come.
-func (sta *State) dueOccurrences() {
+// openDueOccurrences opens the occurrences that have become due.
+func (sta *State) openDueOccurrences() {
 	for _, liv := range sta.jobList {
 		for !liv.cancelled && liv.final == "" && len(liv.occs) < liv.spec.OccurrenceCount() && !liv.spec.Due(len(liv.occs)).After(sta.now) {
 			sta.openOccurrence(liv)
@@ -88,8 +88,8 @@
 	}
 }
 
-// restore takes in what a former dispatcher stored of a task.
-func (sta *State) restore(liv *liveJob, rec job.TaskRecord) {
+// restoreTask applies a task record that a former dispatcher stored.
+func (sta *State) restoreTask(liv *liveJob, rec job.TaskRecord) {
 	if rec.Occurrence >= liv.spec.OccurrenceCount() || rec.Step >= len(liv.spec.Steps) || rec.Index >= liv.spec.Steps[rec.Step].Count {
 		sta.logDecision("progress_ignored", liv.spec.ID, map[string]any{"occurrence": rec.Occurrence, "step": rec.Step, "index": rec.Index})
 		return
@@ -107,7 +107,8 @@
 	}
 }
 
-// stageOf returns the stage of a task, or nil if the job isn't live.
+// stageOf returns the stage of a task, or nil if the job is not live or has no
+// such task.
 func (sta *State) stageOf(tas job.Task) *stage {
 	liv := sta.jobs[tas.Job]
 	if liv == nil {
@@ -123,7 +124,7 @@
 	return &occ.stages[tas.Step]
 }
 
-// markDone counts a task as done and opens what waits for it.
+// markDone marks a task as done and unblocks the stages that depend on it.
 func (sta *State) markDone(stg *stage, index int) {
 	tas := &stg.tasks[index]
 	if tas.phase == phaseDone {
@@ -154,21 +155,21 @@
 	}
 }
 
-// finish decides the state in which a job ends.
+// finish sets the state in which a job ends, and stops its runs.
 func (sta *State) finish(liv *liveJob, state job.State) {
 	if liv.final != "" {
 		return
 	}
 	liv.final = state
-	sta.touch(liv)
+	sta.markDirty(liv)
 	sta.logDecision("job_ended", liv.spec.ID, map[string]any{
 		"state": state, "queue": liv.spec.Queue, "age_ms": sta.now.Sub(liv.spec.Accepted).Milliseconds(),
 		"late_ms": sta.now.Sub(liv.deadline).Milliseconds(),
 	})
-	sta.stopAll(liv)
+	sta.stopRuns(liv)
 }
 
-// cancel stops a job.
+// cancel ends a job as cancelled.
 func (sta *State) cancel(id job.ID) {
 	liv := sta.jobs[id]
 	if liv == nil || liv.cancelled || liv.final != "" {
@@ -178,8 +179,8 @@
 	sta.finish(liv, job.StateCancelled)
 }
 
-// stopAll stops all runs of a job.
-func (sta *State) stopAll(liv *liveJob) {
+// stopRuns stops all runs of a job.
+func (sta *State) stopRuns(liv *liveJob) {
 	for _, occ := range liv.occs {
 		for i := range occ.stages {
 			stg := &occ.stages[i]
@@ -192,20 +193,20 @@
 	}
 }
 
-// touch notes that a job has something to store.
-func (sta *State) touch(liv *liveJob) {
+// markDirty records that a job has unstored changes.
+func (sta *State) markDirty(liv *liveJob) {
 	if liv.dirtySince.IsZero() {
 		liv.dirtySince = sta.now
 	}
 }
 
-// endRun takes in the end of a run that the VM listed.
-func (sta *State) endRun(hos *host, end worker.End) {
-	hel := hos.runs[end.Task]
+// runEnded handles the end of a run that a VM reports.
+func (sta *State) runEnded(hos *host, end worker.End) {
+	pla := hos.runs[end.Task]
 	started := time.Time{}
-	if hel != nil && hel.run == end.Run {
-		started = hel.since
-		sta.release(hos, hel)
+	if pla != nil && pla.run == end.Run {
+		started = pla.since
+		sta.release(hos, pla)
 	}
 	stg := sta.stageOf(end.Task)
 	if stg == nil {
@@ -213,7 +214,7 @@
 		return
 	}
 	if stg.liveJob.final != "" {
-		sta.store(stg.liveJob, hos, end.Number)
+		sta.ackOnceStored(stg.liveJob, hos, end.Number)
 		return
 	}
 	stg.liveJob.begun = true
@@ -228,8 +229,8 @@
 		sta.markAckable(hos, end.Number)
 		return
 	case tas.phase == phaseDone && end.Kind == worker.EndDone:
-		// A VM that came back lists ends again that may not be stored yet.
-		sta.store(stg.liveJob, hos, end.Number)
+		// A VM that was unreachable reports ends again that may not be stored yet.
+		sta.ackOnceStored(stg.liveJob, hos, end.Number)
 		return
 	case tas.phase == phaseDone:
 		sta.markAckable(hos, end.Number)
@@ -237,10 +238,10 @@
 	}
 	switch end.Kind {
 	case worker.EndDone:
-		sta.learn(stg, started)
+		sta.updateRuntimeRatio(stg, started)
 		hos.failures = 0
-		sta.store(stg.liveJob, hos, end.Number)
-		sta.endOthers(stg, end.Task)
+		sta.ackOnceStored(stg.liveJob, hos, end.Number)
+		sta.stopOtherRuns(stg, end.Task)
 		sta.markDone(stg, end.Task.Index)
 	case worker.EndFailed:
 		sta.taskFailed(stg, hos, end)
@@ -252,21 +253,22 @@
 	}
 }
 
-// store notes that an end is acknowledged once the job's record is stored.
-func (sta *State) store(liv *liveJob, hos *host, number int64) {
+// ackOnceStored acknowledges an end once the job's record is stored.
+func (sta *State) ackOnceStored(liv *liveJob, hos *host, number int64) {
 	liv.acks = append(liv.acks, ack{hos, number})
-	sta.touch(liv)
+	sta.markDirty(liv)
 }
 
-// taskFailed counts a run that failed, and fails the job at the last attempt.
+// taskFailed counts a failed run, and fails the job after the last attempt.
 func (sta *State) taskFailed(stg *stage, hos *host, end worker.End) {
 	tas := &stg.tasks[end.Task.Index]
-	// A former dispatcher may have counted the run and not acknowledged its end.
+	// A former dispatcher may have counted the run without acknowledging its
+	// end.
 	if !slices.Contains(tas.failedRuns, end.Run) {
 		tas.failedRuns = append(slices.Clip(tas.failedRuns), end.Run)
-		sta.suspect(hos)
+		sta.countFailure(hos)
 	}
-	sta.store(stg.liveJob, hos, end.Number)
+	sta.ackOnceStored(stg.liveJob, hos, end.Number)
 	attempts := 1
 	if que := sta.catalog.Queue(stg.liveJob.spec.Queue); que != nil {
 		attempts = que.MaxAttempts
@@ -277,30 +279,31 @@
 	}
 }
 
-// Quarantine of VMs that fail tasks.
+// Quarantine of VMs on which tasks fail.
 const (
-	// maxFailures is how many runs in a row may fail on a VM before it gets no
-	// new tasks for a while.
+	// maxFailures is the number of consecutive failed runs after which a VM is
+	// quarantined.
 	maxFailures = 3
-	// quarantineTime is the first pause; it doubles with each further failure.
-	quarantineTime = 500 * time.Millisecond
-	// maxQuarantine bounds the pause.
+	// minQuarantine is the time of the first quarantine. It doubles with each
+	// further failure.
+	minQuarantine = 500 * time.Millisecond
+	// maxQuarantine bounds the time of a quarantine.
 	maxQuarantine = 8 * time.Second
 )
 
-// suspect counts a failure against a VM.
-func (sta *State) suspect(hos *host) {
+// countFailure counts a failed run against its VM.
+func (sta *State) countFailure(hos *host) {
 	hos.failures++
 	if hos.failures < maxFailures {
 		return
 	}
-	pause := min(maxQuarantine, quarantineTime<<min(hos.failures-maxFailures, 5))
+	pause := min(maxQuarantine, minQuarantine<<min(hos.failures-maxFailures, 5))
 	hos.quarantinedUntil = sta.now.Add(pause)
 	sta.logDecision("vm_quarantined", "", map[string]any{"vm": hos.vm.ID, "failures": hos.failures, "pause_ms": pause.Milliseconds()})
 }
 
-// learn compares a run's time with the estimate.
-func (sta *State) learn(stg *stage, started time.Time) {
+// updateRuntimeRatio adds a run's time to the run-time ratio of its queue.
+func (sta *State) updateRuntimeRatio(stg *stage, started time.Time) {
 	if started.IsZero() || stg.step.Estimate <= 0 || stg.step.Checkpointing {
 		return
 	}
@@ -313,15 +316,15 @@
 	rat.add(sta.now.Sub(started).Seconds() / stg.step.Estimate.Seconds())
 }
 
-// endOthers stops other copies of a task that is done.
-func (sta *State) endOthers(stg *stage, tas job.Task) {
+// stopOtherRuns stops another run of a task that is done.
+func (sta *State) stopOtherRuns(stg *stage, tas job.Task) {
 	if hos := stg.tasks[tas.Index].host; hos != nil {
 		sta.stop(hos.runs[tas])
 	}
 }
 
-// endGang ends a whole gang as its member did: one end that is done stands for
-// all; any other one ends all.
+// endGang ends a gang with one of its members: if the member is done, the
+// whole gang is; otherwise the other members are stopped.
 func (sta *State) endGang(stg *stage, end worker.End) {
 	for i := range stg.tasks {
 		if end.Kind == worker.EndDone {
--- a/internal/core/scheduler/load.go
+++ b/internal/core/scheduler/load.go
@@ -9,31 +9,34 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/job"
 )
 
-// Load is what the dispatcher tells the entries. It is immutable.
+// Load is the dispatcher's load, which the entries use to admit jobs. It is
+// immutable.
 type Load struct {
-	// Pending counts, by queue, the jobs of which no task has started. Jobs with
-	// times to come are not counted.
+	// Pending is, by queue, the number of jobs of which no task has started.
+	// Jobs with scheduled occurrences are not counted.
 	Pending map[string]int `msgpack:"p"`
-	// Backlog is, by queue, how long the work takes that was accepted before.
-	// Queues that catch up within loadStep are left out.
+	// Backlog is, by queue, the time that the work of accepted jobs takes.
+	// Queues with less than backlogUnit are left out.
 	Backlog map[string]time.Duration `msgpack:"b,omitempty"`
-	// Sizes are those of the machines, each once.
+	// Sizes lists the distinct capacities of the machines.
 	Sizes []job.Size `msgpack:"s,omitempty"`
 }
 
-// Bounds of what is told.
+// Parameters of Load and Admit.
 const (
-	// loadStep is the unit of backlogs. The load is written when it changes.
-	loadStep = time.Second
-	// worthlessFactor is how many times its objective a job takes at most to be of
-	// any worth, from the platform's rules.
+	// backlogUnit is the unit to which backlogs are truncated. The load is
+	// written when it changes.
+	backlogUnit = time.Second
+	// worthlessFactor is the multiple of its latency objective after which a job
+	// has no value, by the platform's rules.
 	worthlessFactor = 3
-	// unfitRetry is when a job may come back that no machine can hold.
-	unfitRetry = time.Minute
+	// oversizedRetry is the retry delay of a job with a task that no machine can
+	// hold.
+	oversizedRetry = time.Minute
 )
 
-// Load returns the present load. It is not known until all stored jobs have been
-// brought.
+// Load returns the current load. It is not known until all stored jobs are
+// loaded.
 func (sta *State) Load() (loa Load, ok bool) {
 	if !sta.loaded {
 		return Load{}, false
@@ -49,9 +52,9 @@
 		que := &sta.catalog.Queues[i]
 		wait := backlogs[que.Pool]
 		if que.Advice != nil {
-			wait = max(wait, sta.adviceBacklog())
+			wait = max(wait, sta.advisorBacklog())
 		}
-		if wait = wait.Truncate(loadStep); wait > 0 {
+		if wait = wait.Truncate(backlogUnit); wait > 0 {
 			loa.Backlog[que.Name] = wait
 		}
 	}
@@ -64,10 +67,11 @@
 	return loa, true
 }
 
-// backlogs returns how long each pool takes for the work of its jobs, with its own
-// machines or with its part of all machines, as these move to where work is.
+// backlogs returns the time that each pool needs for the work of its jobs:
+// with its own machines or with its part of all machines, whichever is less,
+// as machines move to where work is.
 func (sta *State) backlogs() map[string]time.Duration {
-	work, cores := map[string]float64{}, map[string]float64{}
+	remainingWork, cores := map[string]float64{}, map[string]float64{}
 	allWork, allCores := 0.0, 0.0
 	for _, liv := range sta.jobList {
 		if liv.final != "" || liv.spec.IsLongRunning() {
@@ -77,16 +81,17 @@
 		pool := sta.poolOf(liv)
 		for _, occ := range liv.occs {
 			for i := range occ.stages {
-				work[pool] += occ.stages[i].work(factor)
-				allWork += occ.stages[i].work(factor)
+				remainingWork[pool] += occ.stages[i].remainingWork(factor)
+				allWork += occ.stages[i].remainingWork(factor)
 			}
 		}
 	}
 	for _, hos := range sta.hostList {
-		// VMs that were not heard of yet, or go down for their upkeep, count: after a
-		// takeover nothing is refused for what is not known.
+		// VMs that have not reported yet or are down for upkeep count as well.
+		// Otherwise jobs would be refused after a takeover because the capacity is
+		// still unknown.
 		if !hos.unregistered && !hos.vm.Leaving && !sta.zonesOut[hos.vm.AZ] {
-			free := max(0, hos.vm.Capacity.Cores()-hos.lastingCores())
+			free := max(0, hos.vm.Capacity.Cores()-hos.longRunningCores())
 			cores[hos.vm.Pool] += free
 			allCores += free
 		}
@@ -102,19 +107,19 @@
 	if allCores == 0 {
 		return waits
 	}
-	for pool, sum := range work {
+	for pool, sum := range remainingWork {
 		seconds := min(sum/max(cores[pool], math.SmallestNonzeroFloat64), allWork/allCores)
 		waits[pool] = time.Duration(seconds * float64(time.Second))
 	}
 	return waits
 }
 
-// adviceBacklog returns how long the askers take for the questions of all stages
-// that have no task running or done.
-func (sta *State) adviceBacklog() time.Duration {
+// advisorBacklog returns the time that the queries for all stages without a
+// running or finished task take with the current number of slots.
+func (sta *State) advisorBacklog() time.Duration {
 	sum := time.Duration(0)
 	for _, liv := range sta.jobList {
-		span := sta.adviceTime(liv.spec.Queue)
+		span := sta.advisorLatency(liv.spec.Queue)
 		if span == 0 || liv.final != "" {
 			continue
 		}
@@ -129,9 +134,10 @@
 	return sum / time.Duration(max(1, sta.advisorSlots))
 }
 
-// Admit decides whether a queue takes another job. The reason is empty if it
-// does. A job is not taken if what was accepted before takes so long that the job
-// would be worthless, or if no machine can hold one of its tasks.
+// Admit decides whether a queue accepts a job. It returns the reason for a
+// refusal, which is empty if the job is accepted, and the delay after which to
+// retry. A job is refused if the backlog delays it until it has no value, or
+// if no machine can hold one of its tasks.
 func (loa Load) Admit(que *catalog.Queue, spe job.Spec) (after time.Duration, reason string) {
 	if spe.IsLongRunning() || spe.Occurrences > 0 {
 		return 0, ""
@@ -139,7 +145,7 @@
 	for _, ste := range spe.Steps {
 		fits := func(size job.Size) bool { return ste.Reservation().Fits(size) }
 		if len(loa.Sizes) > 0 && !slices.ContainsFunc(loa.Sizes, fits) {
-			return unfitRetry, "no machine can hold a task of the job"
+			return oversizedRetry, "no machine can hold a task of the job"
 		}
 	}
 	objective := que.Objective(spe.CriticalPath(nil, nil))
--- a/internal/core/scheduler/orders.go
+++ b/internal/core/scheduler/orders.go
@@ -6,120 +6,121 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/worker"
 )
 
-// Times of orders to VMs.
+// Delays of orders to VMs.
 const (
-	// startRetry is how long a task waits after its order was refused.
-	startRetry = 150 * time.Millisecond
-	// stopRetry is the time between two stops of a run that goes on.
-	stopRetry = 500 * time.Millisecond
-	// unhealthyPause is how long a VM that refused an order gets no others.
+	// startRetryDelay is how long a task waits after its start was refused.
+	startRetryDelay = 150 * time.Millisecond
+	// stopRetryInterval is the time between two stops of a run that is not over.
+	stopRetryInterval = 500 * time.Millisecond
+	// unhealthyPause is how long no tasks start on a VM that refused one as
+	// unhealthy.
 	unhealthyPause = time.Second
 )
 
-// stop has a run stopped. It keeps its room until the VM lists its end or has
-// rejected it.
-func (sta *State) stop(hel *placement) {
-	if hel == nil || hel.state == runStopping || hel.state == runRejected {
+// stop marks a run to be stopped. The run takes up capacity until the VM
+// reports its end or has rejected it.
+func (sta *State) stop(pla *placement) {
+	if pla == nil || pla.state == runStopping || pla.state == runRejected {
 		return
 	}
-	hel.state, hel.since, hel.stopSent = runStopping, sta.now, time.Time{}
+	pla.state, pla.since, pla.stopSent = runStopping, sta.now, time.Time{}
 }
 
-// pursueStops sends the stops that are due.
-func (sta *State) pursueStops() {
+// sendStops sends the stops that are due.
+func (sta *State) sendStops() {
 	for _, hos := range sta.hostList {
 		if !hos.fenced {
 			continue
 		}
-		for _, hel := range hos.runList {
-			due := hel.state == runStopping || hel.state == runRejected && sta.now.Sub(hel.since) > stopRetry+sta.opt.StopTime
-			if !due || hel.stopInFlight || sta.now.Sub(hel.stopSent) < stopRetry {
+		for _, pla := range hos.runList {
+			due := pla.state == runStopping || pla.state == runRejected && sta.now.Sub(pla.since) > stopRetryInterval+sta.opt.StopTime
+			if !due || pla.stopInFlight || sta.now.Sub(pla.stopSent) < stopRetryInterval {
 				continue
 			}
-			hel.stopSent, hel.stopInFlight = sta.now, true
-			sta.emit(Stop{VM: hos.vm, Task: hel.task, Run: hel.run})
+			pla.stopSent, pla.stopInFlight = sta.now, true
+			sta.emit(Stop{VM: hos.vm, Task: pla.task, Run: pla.run})
 		}
 	}
 }
 
-// stopAnswered takes in the answer to a stop. After it, a run that hasn't come
-// yet is rejected; one that is there ends and is listed.
+// stopAnswered handles the answer to a stop. The VM now rejects the run if its
+// start arrives later; if the run is active, it ends and is reported.
 func (sta *State) stopAnswered(hos *host, evt StopAnswered) {
-	hel := hos.runs[evt.Task]
-	if hel == nil || hel.run != evt.Run {
+	pla := hos.runs[evt.Task]
+	if pla == nil || pla.run != evt.Run {
 		return
 	}
-	hel.stopInFlight = false
+	pla.stopInFlight = false
 	switch evt.Result {
 	case worker.ResultOK, worker.ResultOldRun:
-		if hel.state == runStopping {
-			hel.state, hel.since = runRejected, sta.now
+		if pla.state == runStopping {
+			pla.state, pla.since = runRejected, sta.now
 			hos.nextPoll = sta.now
 		}
 	case worker.ResultFenced:
-		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has accepted a higher term")
 	case worker.ResultOtherIncarnation:
-		sta.removeHost(hos, "another life answers at its address")
+		sta.removeHost(hos, "another VM answers at its address")
 	}
 }
 
-// startAnswered takes in the answer to a start.
+// startAnswered handles the answer to a start.
 func (sta *State) startAnswered(hos *host, evt StartAnswered) {
-	hel := hos.runs[evt.Task]
-	if hel == nil || hel.run != evt.Run || hel.state != runOrdered {
-		sta.startAfterwards(hos, evt)
+	pla := hos.runs[evt.Task]
+	if pla == nil || pla.run != evt.Run || pla.state != runOrdered {
+		sta.staleStartAnswered(hos, evt)
 		return
 	}
 	switch evt.Result {
 	case worker.ResultOK:
-		hel.setState(runRunning, sta.now)
+		pla.setState(runRunning, sta.now)
 	case worker.ResultUnknown:
-		hel.state, hel.since = runUnknown, sta.now
+		pla.state, pla.since = runUnknown, sta.now
 		hos.nextPoll = sta.now
 	default:
-		sta.startRefused(hos, hel, evt.Result)
+		sta.startRefused(hos, pla, evt.Result)
 	}
 	if evt.Result != worker.ResultOK {
 		sta.logDecision("start_refused", evt.Task.Job, map[string]any{"task": evt.Task.String(), "run": evt.Run, "vm": hos.vm.ID, "result": evt.Result.String()})
 	}
 }
 
-// startAfterwards takes in the answer to a start whose run has been stopped,
-// seen or ended since.
-func (sta *State) startAfterwards(hos *host, evt StartAnswered) {
+// staleStartAnswered handles the answer to a start whose run has since been
+// stopped, reported or ended.
+func (sta *State) staleStartAnswered(hos *host, evt StartAnswered) {
 	switch evt.Result {
 	case worker.ResultFenced:
-		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has accepted a higher term")
 	case worker.ResultOtherIncarnation:
-		sta.removeHost(hos, "another life answers at its address")
+		sta.removeHost(hos, "another VM answers at its address")
 	}
 }
 
-// startRefused takes in that a VM did not start a run, and never will.
-func (sta *State) startRefused(hos *host, hel *placement, res worker.Result) {
-	stg, name := hel.stage, hel.task
+// startRefused handles that a VM did not start a run and will not do so later.
+func (sta *State) startRefused(hos *host, pla *placement, res worker.Result) {
+	stg, name := pla.stage, pla.task
 	switch res {
 	case worker.ResultFenced:
-		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has accepted a higher term")
 		return
 	case worker.ResultOtherIncarnation:
-		sta.removeHost(hos, "another life answers at its address")
+		sta.removeHost(hos, "another VM answers at its address")
 	default:
-		sta.release(hos, hel)
+		sta.release(hos, pla)
 	}
 	switch res {
 	case worker.ResultNoRoom, worker.ResultLate:
-		hos.quarantinedUntil = sta.now.Add(startRetry)
+		hos.quarantinedUntil = sta.now.Add(startRetryDelay)
 		hos.nextPoll, hos.reportDue = sta.now, true
 	case worker.ResultUnhealthy:
 		hos.quarantinedUntil = sta.now.Add(unhealthyPause)
 	case worker.ResultNoTicket:
 		if stg != nil {
-			// The VM may not have been asked about, or the ticket has expired.
+			// The ticket has expired, or the VM was not part of the query.
 			delete(stg.advice.tickets, hos.vm.ID)
 		}
 	}
 	if stg != nil && name.Index < len(stg.tasks) {
-		stg.tasks[name.Index].notBefore = sta.now.Add(startRetry)
+		stg.tasks[name.Index].notBefore = sta.now.Add(startRetryDelay)
 	}
 }
--- a/internal/core/scheduler/pace.go
+++ b/internal/core/scheduler/pace.go
@@ -2,29 +2,30 @@
 
 import "github.com/balsamgauge/balsamgauge/internal/core/worker"
 
-// tailRatio returns the highest ratio of a tail to its target on a VM, and
-// whether tasks both serve and fill there.
+// tailRatio returns the highest ratio of tail latency to target among the
+// serving tasks on a host, and whether both serving and best-effort tasks run
+// there.
 func (hos *host) tailRatio() (ratio float64, mixed bool) {
 	serves, fills := false, false
-	for _, hel := range hos.runList {
-		if hel.stage == nil {
+	for _, pla := range hos.runList {
+		if pla.stage == nil {
 			continue
 		}
-		ste := hel.stage.step
+		ste := pla.stage.step
 		fills = fills || ste.Fills
 		if ste.TailTarget <= 0 {
 			continue
 		}
 		serves = true
-		if hel.percent == atWork {
-			ratio = max(ratio, float64(hel.load)/float64(ste.TailTarget.Milliseconds()))
+		if pla.percent == percentWorking {
+			ratio = max(ratio, float64(pla.load)/float64(ste.TailTarget.Milliseconds()))
 		}
 	}
 	return ratio, serves && fills
 }
 
-// control sets the pace of a VM's tasks that fill, after a look.
-func (sta *State) control(hos *host) {
+// controlPace sets the pace of a host's best-effort tasks after a poll.
+func (sta *State) controlPace(hos *host) {
 	ratio, mixed := hos.tailRatio()
 	if !mixed {
 		ratio = 0
@@ -34,26 +35,26 @@
 	if hos.pace.Percent != before {
 		sta.logDecision("pace_changed", "", map[string]any{"vm": hos.vm.ID, "percent": hos.pace.Percent, "tail_ratio": ratio})
 	}
-	for _, hel := range hos.runList {
-		if hel.stage == nil || !hel.stage.step.Fills || hel.state != runRunning || hel.pace == hos.pace.Percent || hel.paceInFlight {
+	for _, pla := range hos.runList {
+		if pla.stage == nil || !pla.stage.step.Fills || pla.state != runRunning || pla.pace == hos.pace.Percent || pla.paceInFlight {
 			continue
 		}
-		hel.paceInFlight = true
-		sta.emit(Pace{VM: hos.vm, Task: hel.task, Run: hel.run, Percent: hos.pace.Percent})
+		pla.paceInFlight = true
+		sta.emit(Pace{VM: hos.vm, Task: pla.task, Run: pla.run, Percent: hos.pace.Percent})
 	}
 }
 
-// paceAnswered takes in the answer to a pace.
+// paceAnswered handles the answer to an order to set the pace of a task.
 func (sta *State) paceAnswered(hos *host, evt PaceAnswered) {
-	hel := hos.runs[evt.Task]
-	if hel == nil {
+	pla := hos.runs[evt.Task]
+	if pla == nil {
 		return
 	}
-	hel.paceInFlight = false
+	pla.paceInFlight = false
 	switch evt.Result {
 	case worker.ResultOK:
-		hel.pace = evt.Percent
+		pla.pace = evt.Percent
 	case worker.ResultFenced:
-		sta.stepDown("VM " + hos.vm.ID + " has answered a higher term")
+		sta.stepDown("VM " + hos.vm.ID + " has accepted a higher term")
 	}
 }
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Reduce takes events in and returns what is to be done.
+// Reduce applies events in order and returns the effects to perform.
 func (sta *State) Reduce(now time.Time, events []Event) (effects []Effect) {
 	sta.now = now
 	sta.effects = nil
@@ -21,19 +21,20 @@
 		return sta.effects
 	}
 	sta.expireLeases()
-	sta.dueOccurrences()
+	sta.openDueOccurrences()
 	if sta.loaded {
 		sta.planWaves()
 		sta.planMoves()
 		sta.assign()
 	}
-	sta.pursueStops()
+	sta.sendStops()
 	sta.pollHosts()
-	sta.save()
+	sta.saveRecords()
 	sta.listMachines()
 	return sta.effects
 }
 
+// handle applies an event.
 func (sta *State) handle(evt Event) {
 	switch evt := evt.(type) {
 	case Tick:
@@ -58,25 +59,26 @@
 	case Committed:
 		sta.committed(evt)
 	case WaveRequested:
-		sta.waveAsked(evt)
+		sta.waveRequested(evt)
 	case WaveWithdrawn:
 		delete(sta.waves, evt.Number)
 	case MachineAnswered:
 		sta.machineAnswered(evt)
 	default:
-		sta.handleAdvice(evt)
+		sta.handleAdvisorAndStore(evt)
 	}
 }
 
-// handleAdvice takes in what concerns the advisor, and other events.
-func (sta *State) handleAdvice(evt Event) {
+// handleAdvisorAndStore applies events of the advisor and of the store, and
+// passes others on.
+func (sta *State) handleAdvisorAndStore(evt Event) {
 	switch evt := evt.(type) {
 	case AdvisorAnswered:
-		sta.advised(evt)
+		sta.advisorAnswered(evt)
 	case AdvisorSlotsChanged:
 		sta.advisorSlots = evt.Count
 	case EndedJobsListed:
-		sta.endedListed(evt)
+		sta.endedJobsListed(evt)
 	case JobWatchProgressed:
 		sta.jobsSyncedAt = evt.At
 	default:
@@ -84,7 +86,8 @@
 	}
 }
 
-// handleAnswer takes in what VMs answered. Answers of former lives are void.
+// handleAnswer applies answers of VMs. Answers of earlier incarnations are
+// ignored.
 func (sta *State) handleAnswer(evt Event) {
 	switch evt := evt.(type) {
 	case PollAnswered:
@@ -108,12 +111,13 @@
 	}
 }
 
+// stepDown ends the tenure. Later events are ignored.
 func (sta *State) stepDown(reason string) {
 	sta.steppedDown = true
 	sta.emit(StepDown{Reason: reason})
 }
 
-// indexHosts sorts the hosts, and into their pools.
+// indexHosts rebuilds the sorted lists of hosts, overall and by pool.
 func (sta *State) indexHosts() {
 	pools := make(map[string][]*host, len(sta.pools))
 	sta.hostList = make([]*host, 0, len(sta.hosts))
--- a/internal/core/scheduler/save.go
+++ b/internal/core/scheduler/save.go
@@ -9,26 +9,27 @@
 	"github.com/balsamgauge/balsamgauge/internal/kv"
 )
 
-// Times of writes.
+// Delays of writes to the store.
 const (
-	// saveDelay is how long the progress of a job that goes on waits for more.
+	// saveDelay is how long the progress of a running job is collected before
+	// it is written.
 	saveDelay = 90 * time.Millisecond
-	// saveRetry is the time between two tries of a write that failed.
-	saveRetry = 60 * time.Millisecond
+	// saveRetryDelay is the time between two attempts of a write that failed.
+	saveRetryDelay = 60 * time.Millisecond
 )
 
-// entriesReserved is the number of entries of a transaction that the runner
-// adds: the condition that this process still holds the duty.
-const entriesReserved = 1
+// reservedEntries is the number of transaction entries that the caller of
+// Reduce adds: the condition that this process still holds the duty.
+const reservedEntries = 1
 
-// Entries of a transaction that a job takes.
+// Transaction entries of a job's record, including conditions.
 const (
 	progressEntries = 2
 	finalEntries    = 6
 )
 
-// save writes what has to be stored, as much as a transaction holds.
-func (sta *State) save() {
+// saveRecords writes the unstored records, as many as fit into a transaction.
+func (sta *State) saveRecords() {
 	if sta.commit.inFlight || sta.now.Before(sta.commit.retryAt) {
 		return
 	}
@@ -42,23 +43,23 @@
 		if liv.final != "" {
 			need = finalEntries
 		}
-		if txn.Len()+need+entriesReserved > kv.MaxTxnEntries {
+		if txn.Len()+need+reservedEntries > kv.MaxTxnEntries {
 			continue
 		}
-		if wri, ok := sta.write(&txn, liv); ok {
+		if wri, ok := sta.addRecord(&txn, liv); ok {
 			writes = append(writes, wri)
 		}
 	}
-	retired := sta.retire(&txn)
-	if len(writes) == 0 && retired == 0 {
+	purged := sta.purge(&txn)
+	if len(writes) == 0 && purged == 0 {
 		return
 	}
-	sta.commit = commit{inFlight: true, jobs: writes, purged: retired}
+	sta.commit = commit{inFlight: true, jobs: writes, purged: purged}
 	sta.emit(Commit{Txn: txn})
 }
 
-// write adds a job's record to a transaction.
-func (sta *State) write(txn *kv.Txn, liv *liveJob) (wri jobWrite, ok bool) {
+// addRecord adds a job's record to a transaction.
+func (sta *State) addRecord(txn *kv.Txn, liv *liveJob) (wri jobWrite, ok bool) {
 	id := liv.spec.ID
 	var value []byte
 	var err error
@@ -84,7 +85,7 @@
 	return wri, true
 }
 
-// progress returns what must outlast the dispatcher.
+// progress returns the state of the tasks that the next dispatcher needs.
 func (liv *liveJob) progress() job.Progress {
 	var pro job.Progress
 	for num, occ := range liv.occs {
@@ -106,31 +107,32 @@
 	return pro
 }
 
-// committed takes in the answer to a write.
+// committed handles the answer to a write.
 func (sta *State) committed(evt Committed) {
-	writes, retired := sta.commit.jobs, sta.commit.purged
+	writes, purged := sta.commit.jobs, sta.commit.purged
 	sta.commit = commit{}
 	var con *kv.ConflictError
 	switch {
 	case evt.Err == nil:
-		sta.retired(retired)
+		sta.purged(purged)
 		for _, wri := range writes {
-			sta.written(wri, evt.Revision)
+			sta.recordStored(wri, evt.Revision)
 		}
 	case errors.As(evt.Err, &con):
 		for _, wri := range writes {
-			sta.conflicted(wri, con)
+			sta.recordConflicted(wri, con)
 		}
 	default:
-		sta.commit.retryAt = sta.now.Add(saveRetry)
+		sta.commit.retryAt = sta.now.Add(saveRetryDelay)
 		sta.logDecision("write_failed", "", map[string]any{"jobs": len(writes), "error": evt.Err.Error()})
 		for _, wri := range writes {
-			sta.rewrite(wri)
+			sta.retryRecord(wri)
 		}
 	}
 }
 
-func (sta *State) written(wri jobWrite, rev kv.Revision) {
+// recordStored handles that a job's record has been stored.
+func (sta *State) recordStored(wri jobWrite, rev kv.Revision) {
 	for _, ack := range wri.acks {
 		sta.markAckable(ack.host, ack.number)
 	}
@@ -138,33 +140,35 @@
 	if !wri.final {
 		return
 	}
-	// Ends that came while the record was being written need no other one.
+	// Ends that arrived during the write of the final record need no further
+	// record.
 	for _, ack := range wri.liveJob.acks {
 		sta.markAckable(ack.host, ack.number)
 	}
-	sta.forget(wri.liveJob)
+	sta.forgetJob(wri.liveJob)
 }
 
-// conflicted takes in that a write failed for a condition: a former write of
+// recordConflicted handles a failed condition of a write: an earlier write of
 // the same job, whose answer was lost, has taken effect.
-func (sta *State) conflicted(wri jobWrite, con *kv.ConflictError) {
+func (sta *State) recordConflicted(wri jobWrite, con *kv.ConflictError) {
 	id := wri.liveJob.spec.ID
 	if wri.final && con.Item(job.EndedKey(id)).Revision != 0 {
-		sta.written(wri, con.Item(job.EndedKey(id)).Revision)
+		sta.recordStored(wri, con.Item(job.EndedKey(id)).Revision)
 		return
 	}
 	wri.liveJob.progressRev = con.Item(job.ProgressKey(id)).Revision
-	sta.rewrite(wri)
+	sta.retryRecord(wri)
 }
 
-// rewrite has a job stored again.
-func (sta *State) rewrite(wri jobWrite) {
+// retryRecord schedules another write of a job's record.
+func (sta *State) retryRecord(wri jobWrite) {
 	wri.liveJob.acks = append(wri.acks, wri.liveJob.acks...)
 	wri.liveJob.dirtySince = sta.now.Add(-saveDelay)
 }
 
-// forget removes a job that is stored as ended. Its runs are still stopped.
-func (sta *State) forget(liv *liveJob) {
+// forgetJob removes a job that is stored as ended. Its remaining runs are
+// still stopped.
+func (sta *State) forgetJob(liv *liveJob) {
 	id := liv.spec.ID
 	delete(sta.jobs, id)
 	sta.jobList = slices.DeleteFunc(sta.jobList, func(oth *liveJob) bool { return oth == liv })
--- a/internal/core/scheduler/stale_test.go
+++ b/internal/core/scheduler/stale_test.go
@@ -9,15 +9,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestStaleRunOnAVM takes over while two VMs list runs of the same task, of which
-// the newer one fails. The task does not start on the VM where the older one is
-// still being stopped, and the books are right once that has ended.
-func TestStaleRunOnAVM(t *testing.T) {
+// TestStaleRunOnVM checks that a task does not start on a VM where an older
+// run of it is still being stopped. After a takeover two VMs report runs of
+// the same task, of which the newer one fails. The accounting must be right
+// once the older run has ended.
+func TestStaleRunOnVM(t *testing.T) {
 	now := time.Date(2026, 1, 2, 3, 0, 0, 0, time.UTC)
 	opt := testOptions()
 	opt.Since, opt.Revision, opt.Term = now, 10, 2
 	sta := New(opt)
-	one, oth := vmNamed("vm-1"), vmNamed("vm-2")
+	one, oth := testVM("vm-1"), testVM("vm-2")
 	spe := fanOut(1, "large", 1, 500, time.Second)
 	spe.Accepted = now
 	name := job.Task{Job: spe.ID}
@@ -43,7 +44,7 @@
 	}})
 	reduce(lists(oth, 5))
 	reduce(lists(one, 3))
-	// VM 2 is in quarantine for a while, so that VM 1 would be chosen.
+	// VM 2 is in quarantine for a while, so VM 1 is the only candidate.
 	sta.hosts[oth.ID].failures = maxFailures + 2
 	reduce(PollAnswered{VM: oth, Sent: now, Report: worker.Report{Born: 1, Clock: time.Second, Ends: []worker.End{{Number: 1, Task: name, Run: 5, Kind: worker.EndFailed}}}})
 	reduce(Tick{})
