--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -100,7 +100,7 @@
 		IdempotencyKey: req.Header.Get("Idempotency-Key"),
 		BodyBytes:      int64(len(body)), Timeout: timeout,
 	})
-	rnr.await(wrt, req, exc)
+	rnr.serveReply(wrt, req, exc)
 }
 
 // bodyLimit returns the number of body bytes to read for a path. It is one byte
@@ -113,9 +113,9 @@
 	return table.DefaultMaxBody
 }
 
-// await waits for the reply of an exchange and writes it. If the caller
+// serveReply waits for the reply of an exchange and writes it. If the caller
 // disconnects first, the request is cancelled.
-func (rnr *Runner) await(wrt http.ResponseWriter, req *http.Request, exc *exchange.Exchange) {
+func (rnr *Runner) serveReply(wrt http.ResponseWriter, req *http.Request, exc *exchange.Exchange) {
 	select {
 	case rep := <-exc.Reply():
 		writeReply(wrt, rep)
@@ -139,19 +139,19 @@
 	})
 	// A caller that disconnects does not cancel its submission: the record of
 	// the task may already be on its way to the store.
-	rnr.await(wrt, req, exc)
+	rnr.serveReply(wrt, req, exc)
 }
 
 func (rnr *Runner) serveTask(wrt http.ResponseWriter, req *http.Request) {
 	exc := rnr.exchanges.Open(exchange.Request{})
 	rnr.Post(event.TaskQueried{Request: exc.ID, TaskID: req.PathValue("task"), KeyHash: keyHash(req)})
-	rnr.await(wrt, req, exc)
+	rnr.serveReply(wrt, req, exc)
 }
 
 func (rnr *Runner) serveTaskCancel(wrt http.ResponseWriter, req *http.Request) {
 	exc := rnr.exchanges.Open(exchange.Request{})
 	rnr.Post(event.TaskCancelled{Request: exc.ID, TaskID: req.PathValue("task"), KeyHash: keyHash(req)})
-	rnr.await(wrt, req, exc)
+	rnr.serveReply(wrt, req, exc)
 }
 
 func writeReply(wrt http.ResponseWriter, rep exchange.Reply) {
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -27,7 +27,7 @@
 	case effect.AbortAttempt:
 		rnr.abort(attemptKey{eff.Work, eff.Attempt})
 	case effect.RelayResponse:
-		rnr.relay(eff)
+		rnr.relayResponse(eff)
 	case effect.StartTask:
 		go func() { rnr.Post(rnr.workers.Start(rnr.callsCtx, eff)) }()
 	case effect.PollWorker:
@@ -112,7 +112,7 @@
 	}
 }
 
-func (rnr *Runner) relay(eff effect.RelayResponse) {
+func (rnr *Runner) relayResponse(eff effect.RelayResponse) {
 	exc, ok := rnr.exchanges.Get(eff.Request)
 	if !ok {
 		return
@@ -147,7 +147,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := rnr.callers.Shutdown(ctx); err != nil {
-		rnr.partLogger("entry").WithError(err).Warn("Shutdown timed out; some caller connections were closed before their response.")
+		rnr.partLogger("entry").WithError(err).Warn("Some caller connections did not finish within the shutdown timeout.")
 	}
 	rnr.Post(event.AcceptingStopped{})
 }
--- a/internal/runner/operators.go
+++ b/internal/runner/operators.go
@@ -97,12 +97,14 @@
 func (rnr *Runner) serveStatus(wrt http.ResponseWriter, req *http.Request) {
 	exc := rnr.exchanges.Open(exchange.Request{})
 	rnr.Post(event.StatusRequested{Request: exc.ID})
-	if rep, ok := rnr.wait(req, exc).(exchange.EntryStatus); ok {
+	if rep, ok := rnr.awaitReply(req, exc).(exchange.EntryStatus); ok {
 		writeJSON(wrt, http.StatusOK, rep.Status)
 	}
 }
 
-func (rnr *Runner) wait(req *http.Request, exc *exchange.Exchange) exchange.Reply {
+// awaitReply returns the reply of an exchange, or nil if the client disconnects or
+// the entry exits first.
+func (rnr *Runner) awaitReply(req *http.Request, exc *exchange.Exchange) exchange.Reply {
 	select {
 	case rep := <-exc.Reply():
 		return rep
@@ -169,7 +171,7 @@
 func (rnr *Runner) requestChange(wrt http.ResponseWriter, req *http.Request, chg table.Change, base int64, secret string) {
 	exc := rnr.exchanges.Open(exchange.Request{})
 	rnr.Post(event.ChangeRequested{Request: exc.ID, Change: chg, Base: base})
-	rep, ok := rnr.wait(req, exc).(exchange.ChangeResult)
+	rep, ok := rnr.awaitReply(req, exc).(exchange.ChangeResult)
 	if !ok {
 		return
 	}
