--- a/internal/core/entry/demand.go
+++ b/internal/core/entry/demand.go
@@ -95,7 +95,7 @@
 	for _, cnt := range own.queue.Counts() {
 		team := cnt.Lane.Team
 		if _, seen := left[team]; !seen {
-			left[team] = stp.st.Rights(team) - stp.st.Running(team)
+			left[team] = stp.st.HeldPermits(team) - stp.st.Running(team)
 		}
 		startable := min(cnt.Waiting, left[team])
 		if startable <= 0 {
--- a/internal/core/entry/edit_test.go
+++ b/internal/core/entry/edit_test.go
@@ -113,7 +113,7 @@
 	assert.Equal(t, drv.told["after"].outcome, outcome.Accepted)
 	assert.Equal(t, len(left.state.config.Voters), 1)
 	for _, tea := range small.teams {
-		assert.Equal(t, left.state.Rights(tea.Name), tea.Limit)
+		assert.Equal(t, left.state.HeldPermits(tea.Name), tea.Limit)
 	}
 }
 
--- a/internal/core/entry/grant.go
+++ b/internal/core/entry/grant.go
@@ -103,7 +103,7 @@
 		if !ok || wrk.HasTried(slt.VM) || !stp.stillAuthorized(wrk) {
 			continue
 		}
-		if stp.st.Running(wrk.Team) < stp.st.Rights(wrk.Team) {
+		if stp.st.Running(wrk.Team) < stp.st.HeldPermits(wrk.Team) {
 			stp.startWork(wrk, target, slt)
 		}
 		return
--- a/internal/core/entry/permits.go
+++ b/internal/core/entry/permits.go
@@ -32,7 +32,7 @@
 func (tst teamState) spare() int { return max(0, tst.free-tst.waiting) }
 
 func (stp *step) teamState(team string) teamState {
-	tst := teamState{free: stp.st.Rights(team) - stp.st.Running(team)}
+	tst := teamState{free: stp.st.HeldPermits(team) - stp.st.Running(team)}
 	if _, waits := stp.st.waiting.Get(team); !waits {
 		return tst
 	}
--- a/internal/core/entry/removal.go
+++ b/internal/core/entry/removal.go
@@ -154,7 +154,7 @@
 func (stp *step) debts() []table.TeamPermits {
 	var debts []table.TeamPermits
 	for _, tea := range stp.st.config.Tables.Teams {
-		if owed := stp.st.Running(tea.Name) - stp.st.Rights(tea.Name); owed > 0 {
+		if owed := stp.st.Running(tea.Name) - stp.st.HeldPermits(tea.Name); owed > 0 {
 			debts = append(debts, table.TeamPermits{Team: tea.Name, Permits: owed})
 		}
 	}
--- a/internal/core/entry/request_test.go
+++ b/internal/core/entry/request_test.go
@@ -76,7 +76,7 @@
 	left := drv.nodes[1].state
 	assert.Equal(t, len(left.config.Voters), 2)
 	for _, tea := range small.teams {
-		usable := left.Rights(tea.Name) + drv.nodes[2].state.Rights(tea.Name)
+		usable := left.HeldPermits(tea.Name) + drv.nodes[2].state.HeldPermits(tea.Name)
 		assert.Equal(t, usable, tea.Limit, "permits of %s", tea.Name)
 	}
 }
@@ -88,7 +88,7 @@
 	left := drv.nodes[1].state
 	assert.Equal(t, len(left.config.Voters), 2)
 	for _, tea := range small.teams {
-		usable := left.Rights(tea.Name) + drv.nodes[2].state.Rights(tea.Name)
+		usable := left.HeldPermits(tea.Name) + drv.nodes[2].state.HeldPermits(tea.Name)
 		assert.Equal(t, usable, tea.Limit, "permits of %s", tea.Name)
 	}
 }
--- a/internal/core/entry/schedule_test.go
+++ b/internal/core/entry/schedule_test.go
@@ -297,7 +297,7 @@
 func (sch *schedule) claims(team string) int {
 	sum := 0
 	for _, nod := range sch.live() {
-		sum += max(nod.state.Rights(team), nod.state.Running(team), 0)
+		sum += max(nod.state.HeldPermits(team), nod.state.Running(team), 0)
 		for _, other := range sch.nodes {
 			if other != nod {
 				sum += int(max(0, other.state.ledger.Sent(team, nod.id)-nod.state.ledger.Received(team, other.id)))
@@ -341,7 +341,7 @@
 	for _, tea := range newest.Tables.Teams {
 		sum := 0
 		for _, nod := range sch.live() {
-			sum += nod.state.Rights(tea.Name)
+			sum += nod.state.HeldPermits(tea.Name)
 		}
 		if sum != tea.Limit {
 			sch.fail("team %s has %d permits of %d", tea.Name, sum, tea.Limit)
--- a/internal/core/entry/shutdown.go
+++ b/internal/core/entry/shutdown.go
@@ -109,7 +109,7 @@
 
 func (stp *step) giveAll(heir string) {
 	for _, tea := range stp.st.config.Tables.Teams {
-		free := stp.st.Rights(tea.Name) - stp.st.Running(tea.Name)
+		free := stp.st.HeldPermits(tea.Name) - stp.st.Running(tea.Name)
 		if free > 0 {
 			stp.st.ledger, _ = stp.st.ledger.WithSent(tea.Name, heir, free)
 		}
--- a/internal/core/entry/state.go
+++ b/internal/core/entry/state.go
@@ -247,7 +247,7 @@
 	return count
 }
 
-// Rights returns how much work of a team the entry may have running.
-func (sta State) Rights(team string) int {
+// HeldPermits returns how much work of a team the entry may have running.
+func (sta State) HeldPermits(team string) int {
 	return sta.ledger.Rights(sta.config, team)
 }
--- a/internal/core/entry/status.go
+++ b/internal/core/entry/status.go
@@ -31,7 +31,7 @@
 		sts.Pools = append(sts.Pools, stp.poolStatus(poo.Name))
 	}
 	for _, tea := range cfg.Tables.Teams {
-		rights := stp.st.Rights(tea.Name)
+		rights := stp.st.HeldPermits(tea.Name)
 		sts.Teams = append(sts.Teams, effect.TeamStatus{
 			Team: tea.Name, Limit: tea.Limit, Permits: rights,
 			Running: stp.st.Running(tea.Name), InDebt: rights < 0,
--- a/internal/core/entry/waiting.go
+++ b/internal/core/entry/waiting.go
@@ -163,7 +163,7 @@
 // expire refuses waiting work whose deadline has passed.
 func (stp *step) expire(wrk work.Work) {
 	cod, msg := outcome.CodeDeadlinePassed, "The deadline passed before the work could start."
-	if stp.st.Rights(wrk.Team) <= stp.st.Running(wrk.Team) {
+	if stp.st.HeldPermits(wrk.Team) <= stp.st.Running(wrk.Team) {
 		cod, msg = outcome.CodeOverLimit, "The team's upper limit was reached until the deadline passed."
 	}
 	if wrk.Kind == table.KindTask {
