--- a/internal/core/entry/removal.go
+++ b/internal/core/entry/removal.go
@@ -58,10 +58,10 @@
 	stp.st.removal.absent = absent
 }
 
-// StopsWithin is how long after its lease lapsed a member certainly runs
+// StopTimeout is how long after its lease lapsed a member certainly runs
 // nothing: it stops starting work once its configuration is no longer fresh,
 // its requests end with their deadlines, and its tasks with their leases.
-func StopsWithin(cfg *table.Config) time.Duration {
+func StopTimeout(cfg *table.Config) time.Duration {
 	return member.FreshFor + max(cfg.Tables.LongestRequest(), TaskLease) + stopMargin
 }
 
@@ -79,7 +79,7 @@
 	}
 	var gone []string
 	for _, abs := range rem.absent {
-		if !stp.isReporting(abs.id) && stp.now.Sub(abs.since) >= StopsWithin(stp.st.config) {
+		if !stp.isReporting(abs.id) && stp.now.Sub(abs.since) >= StopTimeout(stp.st.config) {
 			gone = append(gone, abs.id)
 		}
 	}
@@ -129,7 +129,7 @@
 // counts for it only when it comes back as an echo.
 func (stp *step) hasStopped(id string) bool {
 	per, known := stp.st.view.Peer(id)
-	return !known || stp.st.view.IsGone(id) || stp.now.Sub(per.HeardAt) >= StopsWithin(stp.st.config)
+	return !known || stp.st.view.IsGone(id) || stp.now.Sub(per.HeardAt) >= StopTimeout(stp.st.config)
 }
 
 // dismissed ends the entry: another one takes it for departed and has ended its
--- a/internal/core/entry/request_test.go
+++ b/internal/core/entry/request_test.go
@@ -84,7 +84,7 @@
 func TestPermitsOfLostEntryAreReclaimed(t *testing.T) {
 	drv := deploy(t, 1, small)
 	drv.kill(drv.nodes[0])
-	drv.run(leaseTTL + StopsWithin(drv.nodes[1].state.config) + 6*time.Second)
+	drv.run(leaseTTL + StopTimeout(drv.nodes[1].state.config) + 6*time.Second)
 	left := drv.nodes[1].state
 	assert.Equal(t, len(left.config.Voters), 2)
 	for _, tea := range small.teams {
