--- a/internal/core/entry/waiting.go
+++ b/internal/core/entry/waiting.go
@@ -13,17 +13,18 @@
 	"github.com/balsamgauge/balsamgauge/pkg/table"
 )
 
-// Spans for which a VM that could not be connected to gets no new work.
+// Shortest and longest time for which a VM under suspicion gets no new work.
 const (
-	suspectFirst   = 500 * time.Millisecond
-	suspectLongest = 30 * time.Second
+	minSuspicion = 500 * time.Millisecond
+	maxSuspicion = 30 * time.Second
 )
 
+// pool returns the entry's own state of a pool.
 func (stp *step) pool(name string) poolState {
 	own, ok := stp.st.pools.Get(name)
 	if !ok {
 		own = poolState{queue: queue.New(), budget: retry.NewBudget()}
-		own.leader = member.Leader(stp.st.live, poolSubject(name))
+		own.leader = member.Leader(stp.st.live, poolElectionKey(name))
 	}
 	return own
 }
@@ -38,18 +39,18 @@
 	}
 }
 
-// countWaiting keeps the counts of waiting work by pool and team.
-func (stp *step) countWaiting(wrk work.Work, delta int, left int) {
+// countWaiting updates the counts of waiting work by pool and team.
+func (stp *step) countWaiting(wrk work.Work, delta int, remaining int) {
 	count, _ := stp.st.waiting.Get(wrk.Team)
 	if count+delta == 0 {
 		stp.st.waiting = stp.st.waiting.Delete(wrk.Team)
 	} else {
 		stp.st.waiting = stp.st.waiting.Set(wrk.Team, count+delta)
 	}
-	if left == 0 {
-		stp.st.busy = stp.st.busy.Delete(wrk.Pool)
+	if remaining == 0 {
+		stp.st.backlogged = stp.st.backlogged.Delete(wrk.Pool)
 	} else {
-		stp.st.busy = stp.st.busy.Set(wrk.Pool, struct{}{})
+		stp.st.backlogged = stp.st.backlogged.Set(wrk.Pool, struct{}{})
 	}
 }
 
@@ -57,7 +58,7 @@
 	stp.st.works = stp.st.works.Set(wrk.ID, wrk)
 }
 
-// enqueue lets work wait for a grant.
+// enqueue queues work for a grant.
 func (stp *step) enqueue(wrk work.Work) {
 	wrk.Phase = work.PhaseWaiting
 	stp.putWork(wrk)
@@ -69,7 +70,7 @@
 	stp.st.expiry = stp.st.expiry.Set(timer{wrk.Deadline, wrk.ID}, struct{}{})
 }
 
-// dequeue takes work out of all that it waits in.
+// dequeue removes work from the queue and the timers.
 func (stp *step) dequeue(wrk work.Work) {
 	own := stp.pool(wrk.Pool)
 	before := own.queue.Len()
@@ -89,7 +90,7 @@
 	stp.st.works = stp.st.works.Delete(wrk.ID)
 	if request, ok := stp.st.requestOf.Get(wrk.ID); ok {
 		stp.st.requests = stp.st.requests.Delete(request)
-		stp.st.asks.reservationOf = stp.st.asks.reservationOf.Delete(request)
+		stp.st.queries.reservationOf = stp.st.queries.reservationOf.Delete(request)
 		stp.st.requestOf = stp.st.requestOf.Delete(wrk.ID)
 	}
 	if wrk.TaskID != "" {
@@ -106,12 +107,12 @@
 	return request
 }
 
-// occupy takes a permit and a slot for work that starts.
-func (stp *step) occupy(wrk work.Work) {
+// acquire takes a permit and a slot for work that starts.
+func (stp *step) acquire(wrk work.Work) {
 	stp.addRunning(wrk, 1)
 }
 
-// release gives back the permit and the slot of work that ended.
+// release returns the permit and the slot of work that ended.
 func (stp *step) release(wrk work.Work) {
 	stp.addRunning(wrk, -1)
 }
@@ -129,7 +130,8 @@
 	stp.markDirty(wrk.Pool)
 }
 
-// tickWork wakes delayed retries and refuses what can't start in time.
+// tickWork queues the retries that are due and refuses work that can't start in
+// time.
 func (stp *step) tickWork() {
 	var due []work.Work
 	stp.st.delayed, due = stp.takeDue(stp.st.delayed)
@@ -142,22 +144,22 @@
 	}
 }
 
-// takeDue takes the timers out that are due, and returns their work that still
+// takeDue removes the timers that are due and returns their work that still
 // waits.
-func (stp *step) takeDue(timers timerMap) (left timerMap, due []work.Work) {
-	left = timers
+func (stp *step) takeDue(timers timerMap) (remaining timerMap, due []work.Work) {
+	remaining = timers
 	itr := timers.Iterator()
 	for !itr.Done() {
 		tmr, _, _ := itr.Next()
 		if tmr.at.After(stp.now) {
 			break
 		}
-		left = left.Delete(tmr)
+		remaining = remaining.Delete(tmr)
 		if wrk, ok := stp.st.works.Get(tmr.id); ok && wrk.Phase == work.PhaseWaiting {
 			due = append(due, wrk)
 		}
 	}
-	return left, due
+	return remaining, due
 }
 
 // expire refuses waiting work whose deadline has passed.
@@ -176,14 +178,14 @@
 	stp.refuseWork(wrk, *notRun(cod, msg))
 }
 
-// suspect keeps new work from a VM that could not be connected to. The span
-// doubles each time, up to suspectLongest.
+// suspect keeps new work from a VM that failed. The time doubles with each
+// failure, up to maxSuspicion.
 func (stp *step) suspect(vmID string) {
 	sus, _ := stp.st.suspects.Get(vmID)
-	sus.span = min(suspectLongest, max(suspectFirst, 2*sus.span))
-	sus.until = stp.now.Add(stp.jitter(sus.span))
+	sus.duration = min(maxSuspicion, max(minSuspicion, 2*sus.duration))
+	sus.until = stp.now.Add(stp.jitter(sus.duration))
 	stp.st.suspects = stp.st.suspects.Set(vmID, sus)
-	stp.record("vm", "vm_suspected", vmID, sus.span.String())
+	stp.record("vm", "vm_suspected", vmID, sus.duration.String())
 }
 
 func (stp *step) clearSuspicion(vmID string) {
@@ -192,8 +194,9 @@
 	}
 }
 
-// seeLeaving notes that a VM is shutting down, and tells the peers at once.
-func (stp *step) seeLeaving(vmID string) {
+// markVMLeaving records that a VM is shutting down and reports it to the peers
+// immediately.
+func (stp *step) markVMLeaving(vmID string) {
 	if stp.st.fleet.IsLeaving(vmID) {
 		return
 	}
@@ -203,6 +206,7 @@
 	stp.markDirty(stp.st.config.PoolOf(vmID))
 }
 
+// updateReady emits a change of the entry's readiness.
 func (stp *step) updateReady() {
 	ready := !stp.st.view.Leaving() && stp.st.config.Revision > 0 && stp.st.view.IsFresh(stp.now, stp.st.config)
 	if ready != stp.st.ready {
--- a/internal/core/entry/worker_test.go
+++ b/internal/core/entry/worker_test.go
@@ -26,8 +26,8 @@
 	fails   bool
 }
 
-// workerTables adds a pool of workers to tables, with a queue of tasks that may
-// be repeated and one of tasks that may not.
+// workerTables adds a pool of workers to tables, with a queue of repeatable
+// tasks and one of tasks that are not repeatable.
 func workerTables(tbs table.Tables, workers, azs int) table.Tables {
 	vms := map[string]int{}
 	for i := range workers {
@@ -79,7 +79,7 @@
 			end.Taken = true
 			wkr.fences[eff.TaskID] = eff.Attempt
 			wkr.tasks[eff.TaskID] = &fakeTask{
-				attempt: eff.Attempt, due: drv.now.Add(drv.span(eff.TaskID)), expires: drv.now.Add(eff.Lease), fails: wkr.failing,
+				attempt: eff.Attempt, due: drv.now.Add(drv.runDuration(eff.TaskID)), expires: drv.now.Add(eff.Lease), fails: wkr.failing,
 			}
 			drv.taskRuns[eff.TaskID] = append(drv.taskRuns[eff.TaskID], eff.VM)
 		}
@@ -113,28 +113,28 @@
 	}
 	switch {
 	case now.After(tsk.expires) && tsk.expires.Before(tsk.due):
-		wtk.State, wtk.Reason = event.WorkerFailed, "the lease lapsed"
+		wtk.State, wtk.Reason = event.WorkerFailed, "the lease expired"
 	case now.Before(tsk.due):
 		wtk.State = event.WorkerRunning
 		tsk.expires = now.Add(lease)
 	case tsk.fails:
-		wtk.State, wtk.Reason = event.WorkerFailed, "the worker fails everything"
+		wtk.State, wtk.Reason = event.WorkerFailed, "the worker fails every task"
 	default:
 		wtk.State, wtk.Result = event.WorkerDone, []byte("done")
 	}
 	return wtk
 }
 
-// submit submits a task to a node; what becomes of it is told under the name.
+// submit submits a task to a node. The reply is stored under the name.
 func (drv *driver) submit(nod *node, name, team, queue string) {
-	nod.next++
-	nod.requests[nod.next] = name
-	drv.feed(nod, event.TaskSubmitted{Request: nod.next, Queue: queue, KeyHash: key.Hash(secretOf(team)), Payload: []byte(name)})
+	nod.lastRequest++
+	nod.requests[nod.lastRequest] = name
+	drv.feed(nod, event.TaskSubmitted{Request: nod.lastRequest, Queue: queue, KeyHash: key.Hash(secretOf(team)), Payload: []byte(name)})
 }
 
-// askTask asks a node for a task.
-func (drv *driver) askTask(nod *node, name, team, taskID string) {
-	nod.next++
-	nod.requests[nod.next] = name
-	drv.feed(nod, event.TaskAsked{Request: nod.next, TaskID: taskID, KeyHash: key.Hash(secretOf(team))})
+// queryTask requests the status of a task from a node.
+func (drv *driver) queryTask(nod *node, name, team, taskID string) {
+	nod.lastRequest++
+	nod.requests[nod.lastRequest] = name
+	drv.feed(nod, event.TaskAsked{Request: nod.lastRequest, TaskID: taskID, KeyHash: key.Hash(secretOf(team))})
 }
--- a/internal/core/entry/workers.go
+++ b/internal/core/entry/workers.go
@@ -10,30 +10,31 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/work"
 )
 
-// lostAfter is how long after its last answer a worker's tasks are certainly
-// stopped: their lease lapsed, with a margin for the worker's clock.
-const lostAfter = TaskLease + 2*time.Second
+// workerLostAfter is the time after a worker's last reply by which its tasks
+// are guaranteed to have stopped: their lease has expired, with a margin for
+// the worker's clock.
+const workerLostAfter = TaskLease + 2*time.Second
 
-// pollWorkers asks every worker that runs a task of this entry for news, which
-// renews the tasks' leases, and gives up the tasks of workers that are lost.
+// pollWorkers polls every worker that runs a task of this entry, which renews
+// the tasks' leases, and ends the attempts on lost workers.
 func (stp *step) pollWorkers() {
-	if stp.now.Sub(stp.st.logs.polledAt) < pollYoungEvery || stp.st.tasks.Len() == 0 {
+	if stp.now.Sub(stp.st.logs.polledAt) < youngPollInterval || stp.st.tasks.Len() == 0 {
 		return
 	}
 	stp.st.logs.polledAt = stp.now
 	stp.st.logs.polls++
-	all := stp.st.logs.polls%int(pollEvery/pollYoungEvery) == 0
+	all := stp.st.logs.polls%int(pollInterval/youngPollInterval) == 0
 	for _, vmID := range stp.busyWorkers(all) {
 		stp.pollWorker(vmID)
 	}
 }
 
 // busyWorkers returns the VMs that run tasks of this entry, sorted: all of
-// them, or those with a young task.
+// them, or only those with a young task.
 func (stp *step) busyWorkers(all bool) []string {
 	var vms []string
 	for _, wrk := range stp.runningTasks() {
-		if all || stp.now.Sub(wrk.GrantedAt) < youngFor {
+		if all || stp.now.Sub(wrk.GrantedAt) < youngTaskAge {
 			vms = append(vms, wrk.VM)
 		}
 	}
@@ -57,12 +58,12 @@
 func (stp *step) pollWorker(vmID string) {
 	reached, ok := stp.st.logs.reachedAt.Get(vmID)
 	if !ok {
-		stp.touchWorker(vmID)
+		stp.recordWorkerContact(vmID)
 		reached = stp.now
 	}
 	target, listed := stp.st.fleet.VM(vmID)
-	if stp.now.Sub(reached) > lostAfter {
-		stp.loseWorker(vmID)
+	if stp.now.Sub(reached) > workerLostAfter {
+		stp.declareWorkerLost(vmID)
 		return
 	}
 	if !listed {
@@ -77,22 +78,25 @@
 	stp.emit(poll)
 }
 
-func (stp *step) touchWorker(vmID string) {
+// recordWorkerContact records that a worker was reached.
+func (stp *step) recordWorkerContact(vmID string) {
 	stp.st.logs.reachedAt = stp.st.logs.reachedAt.Set(vmID, stp.now)
 }
 
-func (stp *step) loseWorker(vmID string) {
+// declareWorkerLost ends the attempts on a worker that has not replied for too
+// long.
+func (stp *step) declareWorkerLost(vmID string) {
 	stp.st.logs.reachedAt = stp.st.logs.reachedAt.Delete(vmID)
 	stp.record("vm", "worker_lost", vmID, "")
 	for _, wrk := range stp.runningTasks() {
 		if wrk.VM == vmID {
-			stp.attemptLost(wrk, "The worker was lost.")
+			stp.handleLostAttempt(wrk, "The worker was lost.")
 		}
 	}
 }
 
-// attemptLost goes on after an attempt whose outcome nobody can tell.
-func (stp *step) attemptLost(wrk work.Work, reason string) {
+// handleLostAttempt continues after an attempt with an unknown outcome.
+func (stp *step) handleLostAttempt(wrk work.Work, reason string) {
 	stp.release(wrk)
 	if wrk.Repeatable {
 		stp.retryTask(wrk)
@@ -101,11 +105,11 @@
 	stp.endTask(wrk, task.StateUnknown, nil, reason+" The task may not be repeated.")
 }
 
-func (stp *step) workerReported(evt event.WorkerReported) {
+func (stp *step) handleWorkerReport(evt event.WorkerReported) {
 	if !evt.Reached {
 		return
 	}
-	stp.touchWorker(evt.VM)
+	stp.recordWorkerContact(evt.VM)
 	for _, wtk := range evt.Tasks {
 		id, ok := stp.st.tasks.Get(wtk.TaskID)
 		if !ok {
@@ -113,32 +117,32 @@
 		}
 		wrk, _ := stp.st.works.Get(id)
 		if wrk.Phase == work.PhaseRunning && wrk.VM == evt.VM && wrk.Attempt == wtk.Attempt {
-			stp.taskReported(wrk, wtk)
+			stp.handleTaskReport(wrk, wtk)
 		}
 	}
 }
 
-func (stp *step) taskReported(wrk work.Work, wtk event.WorkerTask) {
+func (stp *step) handleTaskReport(wrk work.Work, wtk event.WorkerTask) {
 	switch wtk.State {
 	case event.WorkerDone:
 		stp.release(wrk)
 		stp.clearSuspicion(wrk.VM)
 		stp.endTask(wrk, task.StateDone, wtk.Result, "")
 	case event.WorkerFailed:
-		stp.taskFailed(wrk, wtk.Reason)
+		stp.handleTaskFailure(wrk, wtk.Reason)
 	case event.WorkerUnknown:
-		stp.attemptLost(wrk, "The worker does not know the task.")
+		stp.handleLostAttempt(wrk, "The worker does not know the task.")
 	}
 }
 
-// failuresBeforeQuarantine is how many tasks must fail on a worker in a row
-// before it is the worker's fault rather than the tasks'.
+// failuresBeforeQuarantine is the number of consecutive failures on a worker
+// from which they are attributed to the worker rather than to the tasks.
 const failuresBeforeQuarantine = 3
 
-// noteFailure keeps new work from a worker on which several tasks in a row have
-// failed. The span doubles with each further failure, so the tasks that it gets
-// are probes that grow rarer.
-func (stp *step) noteFailure(vmID string) {
+// recordFailure counts a failure on a worker and quarantines it after several
+// in a row. The time doubles with each further failure, so the tasks that it
+// still gets probe it less and less often.
+func (stp *step) recordFailure(vmID string) {
 	sus, _ := stp.st.suspects.Get(vmID)
 	sus.failures++
 	stp.st.suspects = stp.st.suspects.Set(vmID, sus)
@@ -147,12 +151,12 @@
 	}
 }
 
-// taskFailed tries a task on another VM, or parks it once it has failed on
-// several.
-func (stp *step) taskFailed(wrk work.Work, reason string) {
+// handleTaskFailure tries a task on another VM, or parks it once it has failed
+// on several.
+func (stp *step) handleTaskFailure(wrk work.Work, reason string) {
 	stp.release(wrk)
-	stp.noteFailure(wrk.VM)
-	if wrk.Repeatable && len(wrk.Tried)+1 < maxTaskTries {
+	stp.recordFailure(wrk.VM)
+	if wrk.Repeatable && len(wrk.Tried)+1 < maxTaskVMs {
 		stp.retryTask(wrk)
 		return
 	}
