--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -1,5 +1,8 @@
-// Package effect defines all that the reducer wants done. A driver carries the
-// effects out in their order and feeds what comes of them back as events.
+// Package effect defines the outputs of an entry's reducer. A driver executes
+// the effects in order and feeds their results back as events.
+//
+// A VM is a machine of the platform. The process that it runs is an executor,
+// the upstream of requests, or a worker, which runs tasks.
 package effect
 
 import (
@@ -13,17 +16,18 @@
 	"github.com/balsamgauge/balsamgauge/pkg/table"
 )
 
-// An Effect is one thing to be done.
+// An Effect is one action for the driver.
 type Effect interface{ isEffect() }
 
-// Send sends a message to a member. It may be dropped when the link is down or
-// its queue is full; the driver then ends the link and feeds PeerDown.
+// Send sends a message to a member. The driver may drop it when the link is
+// down or its queue is full; it then closes the link and feeds PeerDown.
 type Send struct {
 	To      string
 	Message message.Message
 }
 
-// CallStore makes a call. StoreAnswered must follow, within StoreTimeout.
+// CallStore makes a call to the store. StoreAnswered must follow within
+// StoreTimeout.
 type CallStore struct {
 	Call uint64
 	Op   store.Op
@@ -32,47 +36,48 @@
 // StoreTimeout bounds a call to the store.
 const StoreTimeout = time.Second
 
-// StartAttempt sends a request to a VM. AttemptEnded must follow, at the
-// latest a little after the deadline.
+// StartAttempt sends a request to a VM. AttemptEnded must follow, shortly after
+// the deadline at the latest.
 type StartAttempt struct {
 	Work    work.ID
 	Request uint64
 	Attempt int
 	VM      string
 	Address string
-	// Repeatable requests may go out on a connection that has been idle;
-	// others need one that is new.
+	// Repeatable requests may be sent on an idle connection; others need a new
+	// one.
 	Repeatable bool
 	Deadline   time.Time
 }
 
-// AbortAttempt ends an attempt that nobody waits for.
+// AbortAttempt aborts an attempt whose result is no longer needed.
 type AbortAttempt struct {
 	Work    work.ID
 	Attempt int
 }
 
-// RelayAnswer gives the caller the whole answer of the attempt that ended.
-type RelayAnswer struct {
+// RelayResponse sends the caller the complete response of the attempt that
+// ended.
+type RelayResponse struct {
 	Request uint64
 	Work    work.ID
 	Attempt int
 }
 
-// Refuse answers a caller without an upstream's answer.
+// Refuse sends the caller a refusal in place of an upstream's response.
 type Refuse struct {
 	Request uint64
 	Refusal outcome.Refusal
 }
 
-// AcceptTask tells a submitter that its task is in the store.
+// AcceptTask confirms to a submitter that its task is in the store.
 type AcceptTask struct {
 	Request uint64
 	TaskID  string
 }
 
-// TellTask answers a question for a task.
-type TellTask struct {
+// ReplyTaskStatus replies to the query for a task.
+type ReplyTaskStatus struct {
 	Request uint64
 	Status  task.Status
 }
@@ -89,8 +94,8 @@
 	Lease   time.Duration
 }
 
-// PollWorker asks a worker for tasks and renews their leases. WorkerReported
-// must follow.
+// PollWorker polls a worker for the state of tasks and renews their leases.
+// WorkerReported must follow.
 type PollWorker struct {
 	VM      string
 	Address string
@@ -98,21 +103,21 @@
 	Lease   time.Duration
 }
 
-// StopTask asks a worker to stop a task. Nothing follows.
+// StopTask requests that a worker stop a task. No event follows.
 type StopTask struct {
 	VM      string
 	Address string
 	TaskAttempt
 }
 
-// TaskAttempt names an attempt at a task.
+// TaskAttempt identifies one attempt at a task.
 type TaskAttempt struct {
 	TaskID  string `json:"task_id"`
 	Attempt int    `json:"attempt"`
 }
 
-// AnswerOperator answers an operator's change.
-type AnswerOperator struct {
+// ReplyChange replies to an operator's request to change the configuration.
+type ReplyChange struct {
 	Request uint64
 	// Accepted changes are in the store and at a majority of the voters.
 	Accepted bool
@@ -121,55 +126,57 @@
 	Message  string
 }
 
-// AnswerStatus answers an operator's question.
-type AnswerStatus struct {
+// ReplyStatus replies to an operator's status query.
+type ReplyStatus struct {
 	Request uint64
 	Status  Status
 }
 
-// Connect names the addresses to keep links to, beside those of the settings.
+// Connect lists the voters to keep links to, in addition to the addresses in
+// the settings.
 type Connect struct{ Voters []table.Voter }
 
-// Adopt makes a configuration known to the driver, for reading only.
-type Adopt struct{ Config *table.Config }
+// PublishConfig makes a configuration available to the driver, which must not
+// modify it.
+type PublishConfig struct{ Config *table.Config }
 
-// SetReady tells the balancer whether to send callers here.
+// SetReady sets whether the load balancer should route callers to this entry.
 type SetReady struct{ Ready bool }
 
-// StopAccepting takes no more callers and lets those that are here have their
-// answers. AcceptingStopped must follow.
+// StopAccepting closes the entry to new callers and lets pending requests
+// finish. AcceptingStopped must follow.
 type StopAccepting struct{}
 
-// Exit ends the process: nothing is left to do.
+// Exit ends the process. Nothing is pending.
 type Exit struct{}
 
-// Record adds an event to the time line.
+// Record adds an event to the timeline.
 type Record struct {
-	// Part is the part of the entry that it concerns.
+	// Part is the component of the entry that recorded the event.
 	Part string
-	// Name is what happened, in snake case.
+	// Name is the name of the event in snake case.
 	Name string
-	// Subject is what it happened to.
+	// Subject is the object of the event, such as a VM or a member.
 	Subject string
 	Detail  string
 }
 
-func (Send) isEffect()           {}
-func (CallStore) isEffect()      {}
-func (StartAttempt) isEffect()   {}
-func (AbortAttempt) isEffect()   {}
-func (RelayAnswer) isEffect()    {}
-func (Refuse) isEffect()         {}
-func (AcceptTask) isEffect()     {}
-func (TellTask) isEffect()       {}
-func (StartTask) isEffect()      {}
-func (PollWorker) isEffect()     {}
-func (StopTask) isEffect()       {}
-func (AnswerOperator) isEffect() {}
-func (AnswerStatus) isEffect()   {}
-func (Connect) isEffect()        {}
-func (Adopt) isEffect()          {}
-func (SetReady) isEffect()       {}
-func (StopAccepting) isEffect()  {}
-func (Exit) isEffect()           {}
-func (Record) isEffect()         {}
+func (Send) isEffect()            {}
+func (CallStore) isEffect()       {}
+func (StartAttempt) isEffect()    {}
+func (AbortAttempt) isEffect()    {}
+func (RelayResponse) isEffect()   {}
+func (Refuse) isEffect()          {}
+func (AcceptTask) isEffect()      {}
+func (ReplyTaskStatus) isEffect() {}
+func (StartTask) isEffect()       {}
+func (PollWorker) isEffect()      {}
+func (StopTask) isEffect()        {}
+func (ReplyChange) isEffect()     {}
+func (ReplyStatus) isEffect()     {}
+func (Connect) isEffect()         {}
+func (PublishConfig) isEffect()   {}
+func (SetReady) isEffect()        {}
+func (StopAccepting) isEffect()   {}
+func (Exit) isEffect()            {}
+func (Record) isEffect()          {}
--- a/internal/core/entry/adoption.go
+++ b/internal/core/entry/adoption.go
@@ -85,7 +85,7 @@
 	for _, kvl := range vls.Values {
 		segments = append(segments, kvl.Value)
 	}
-	recs, err := task.Fold(segments)
+	recs, err := task.Replay(segments)
 	if err != nil {
 		stp.record("task", "log_unreadable", owner, err.Error())
 		return
@@ -99,5 +99,5 @@
 // adopted the log in the meantime.
 func (stp *step) abandonAdoption() {
 	stp.st.logs.adopting = ""
-	stp.st.log = stp.st.log.WithoutFlight()
+	stp.st.log = stp.st.log.WithoutInFlight()
 }
--- a/internal/core/entry/edit_test.go
+++ b/internal/core/entry/edit_test.go
@@ -17,7 +17,7 @@
 func (drv *driver) operateFrom(nod *node, name string, chg table.Change, base int64) {
 	nod.lastRequest++
 	nod.requests[nod.lastRequest] = name
-	drv.feed(nod, event.OperatorAsked{Request: nod.lastRequest, Change: chg, Base: base})
+	drv.feed(nod, event.ChangeRequested{Request: nod.lastRequest, Change: chg, Base: base})
 }
 
 // TestConcurrentEditsConflict sends two changes based on the same revision.
--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -26,7 +26,7 @@
 // handlePeerUp sends a newly linked member all state that it may have missed.
 func (stp *step) handlePeerUp(evt event.PeerUp) {
 	per, _ := stp.st.view.Peer(evt.Member)
-	per.ID, per.AZ, per.Connected, per.HeardAt = evt.Member, evt.AZ, true, stp.now
+	per.ID, per.AZ, per.Connected, per.LastSeenAt = evt.Member, evt.AZ, true, stp.now
 	stp.st.view = stp.st.view.WithPeer(per)
 	stp.record("member", "peer_up", evt.Member, evt.AZ)
 	stp.sendHeartbeat(evt.Member, stp.reportedSpares())
@@ -59,11 +59,11 @@
 		return
 	}
 	per, _ := stp.st.view.Peer(from)
-	if !per.HeardAt.Before(stp.now) {
+	if !per.LastSeenAt.Before(stp.now) {
 		return
 	}
-	silent := stp.now.Sub(per.HeardAt) > member.SilentAfter
-	per.ID, per.HeardAt = from, stp.now
+	silent := stp.now.Sub(per.LastSeenAt) > member.LivenessTimeout
+	per.ID, per.LastSeenAt = from, stp.now
 	stp.st.view = stp.st.view.WithPeer(per)
 	if silent {
 		stp.updateLeaders()
@@ -77,7 +77,7 @@
 	per.Leaving = hbt.Leaving
 	per.Revision = max(per.Revision, hbt.Revision)
 	if hbt.Echo > 0 {
-		per.ProvenAt = later(per.ProvenAt, stp.st.started.Add(time.Duration(hbt.Echo)))
+		per.ConfirmedAt = later(per.ConfirmedAt, stp.st.started.Add(time.Duration(hbt.Echo)))
 	}
 	stp.st.view = stp.st.view.WithPeer(per)
 	stp.st.echoes = stp.st.echoes.Set(from, hbt.SentNanos)
@@ -95,7 +95,7 @@
 	stp.markGone(hbt.Gone, "reported by "+from)
 	stp.sendMissingEdits(from, hbt.Revision)
 	if hbt.Revision > stp.st.config.Revision {
-		stp.send(from, message.SnapshotAsk{Have: stp.st.config.Revision})
+		stp.send(from, message.SnapshotRequest{Have: stp.st.config.Revision})
 	}
 	stp.completeEdit()
 }
@@ -106,13 +106,13 @@
 		stp.updateLeaders()
 		stp.dropStaleReports()
 	}
-	if stp.now.Sub(stp.st.heartbeatAt) < member.HeartbeatEvery {
+	if stp.now.Sub(stp.st.heartbeatAt) < member.HeartbeatInterval {
 		return
 	}
 	stp.sendHeartbeats()
 	for _, per := range stp.st.view.Peers() {
 		_, votes := stp.st.config.Voter(per.ID)
-		if !votes && !per.Connected && stp.now.Sub(per.HeardAt) > forgetPeerAfter {
+		if !votes && !per.Connected && stp.now.Sub(per.LastSeenAt) > forgetPeerAfter {
 			stp.st.view = stp.st.view.WithoutPeer(per.ID)
 			stp.st.echoes = stp.st.echoes.Delete(per.ID)
 		}
@@ -139,7 +139,7 @@
 
 // sendHeartbeat sends one peer a heartbeat with the changes of the entry's
 // spare permits. Changes lost on a broken link are sent again over the new one.
-func (stp *step) sendHeartbeat(to string, spares []message.Spare) {
+func (stp *step) sendHeartbeat(to string, spares []message.SparePermits) {
 	echo, _ := stp.st.echoes.Get(to)
 	hbt := message.Heartbeat{
 		Revision:    stp.st.config.Revision,
--- a/internal/core/entry/permits.go
+++ b/internal/core/entry/permits.go
@@ -39,7 +39,7 @@
 	itr := stp.st.backlogged.Iterator()
 	for !itr.Done() {
 		pool, _, _ := itr.Next()
-		for _, cnt := range stp.pool(pool).queue.Counts() {
+		for _, cnt := range stp.pool(pool).queue.Backlog() {
 			if cnt.Lane.Team != team {
 				continue
 			}
@@ -73,7 +73,7 @@
 // requestPermits sends requests to the peers that reported spare permits. If
 // these are not enough, it requests the rest from a random peer.
 func (stp *step) requestPermits(team string, shortfall int, tst teamState) {
-	req := message.PermitAsk{
+	req := message.PermitRequest{
 		Team: team, Urgent: tst.urgent, Free: max(0, tst.free),
 		AgeMillis: stp.now.Sub(tst.oldest).Milliseconds(),
 	}
@@ -101,7 +101,7 @@
 	var peers []string
 	for _, per := range stp.st.view.Peers() {
 		_, votes := stp.st.config.Voter(per.ID)
-		if votes && stp.now.Sub(per.HeardAt) <= member.SilentAfter && !stp.st.ledger.IsFrozen(per.ID) {
+		if votes && stp.now.Sub(per.LastSeenAt) <= member.LivenessTimeout && !stp.st.ledger.IsFrozen(per.ID) {
 			peers = append(peers, per.ID)
 		}
 	}
@@ -136,7 +136,7 @@
 }
 
 // handlePermitRequest transfers as many permits as the requester may have.
-func (stp *step) handlePermitRequest(from string, req message.PermitAsk) {
+func (stp *step) handlePermitRequest(from string, req message.PermitRequest) {
 	if _, votes := stp.st.config.Voter(from); !votes {
 		return
 	}
@@ -147,7 +147,7 @@
 	}
 	stp.send(from, message.PermitTransfer{
 		Totals: stp.st.ledger.SentTo(from),
-		Spare:  []message.Spare{{Team: req.Team, Permits: stp.spareOf(req.Team)}},
+		Spare:  []message.SparePermits{{Team: req.Team, Permits: stp.spareOf(req.Team)}},
 	})
 }
 
@@ -155,7 +155,7 @@
 // that this entry has no work for; otherwise, if the requester has no free
 // permit, half of the free ones, or the last one if the requester's work is
 // more urgent or older. So no entry can monopolize a team's permits.
-func (stp *step) transferable(req message.PermitAsk) int {
+func (stp *step) transferable(req message.PermitRequest) int {
 	tst := stp.teamState(req.Team)
 	spare := tst.spare()
 	if spare > 0 || tst.free <= 0 || req.Free > 0 {
@@ -190,13 +190,13 @@
 
 // changedSpares returns the teams whose spare permits have changed enough since
 // the last report to affect where peers send their requests.
-func (stp *step) changedSpares() []message.Spare {
-	var changed []message.Spare
+func (stp *step) changedSpares() []message.SparePermits {
+	var changed []message.SparePermits
 	for _, tea := range stp.st.config.Tables.Teams {
 		spare := stp.spareOf(tea.Name)
 		reported, _ := stp.st.reportedSpares.Get(tea.Name)
 		if !withinFactorOfTwo(spare, reported) {
-			changed = append(changed, message.Spare{Team: tea.Name, Permits: spare})
+			changed = append(changed, message.SparePermits{Team: tea.Name, Permits: spare})
 			stp.st.reportedSpares = stp.st.reportedSpares.Set(tea.Name, spare)
 		}
 	}
@@ -210,18 +210,18 @@
 }
 
 // reportedSpares returns the spare permits as last reported to the peers.
-func (stp *step) reportedSpares() []message.Spare {
-	var reported []message.Spare
+func (stp *step) reportedSpares() []message.SparePermits {
+	var reported []message.SparePermits
 	itr := stp.st.reportedSpares.Iterator()
 	for !itr.Done() {
 		team, spare, _ := itr.Next()
-		reported = append(reported, message.Spare{Team: team, Permits: spare})
+		reported = append(reported, message.SparePermits{Team: team, Permits: spare})
 	}
 	return reported
 }
 
 // updatePeerSpares stores the spare permits that a peer reported.
-func (stp *step) updatePeerSpares(from string, spares []message.Spare) {
+func (stp *step) updatePeerSpares(from string, spares []message.SparePermits) {
 	for _, spa := range spares {
 		stp.setPeerSpare(spa.Team, from, spa.Permits)
 	}
--- a/internal/core/entry/queries.go
+++ b/internal/core/entry/queries.go
@@ -55,8 +55,8 @@
 
 // handleTaskStatusRequest replies with the status of a task, querying the
 // connected peers if this entry does not hold it.
-func (stp *step) handleTaskStatusRequest(evt event.TaskAsked) {
-	if rec, ok := stp.st.log.Kept(evt.TaskID); ok {
+func (stp *step) handleTaskStatusRequest(evt event.TaskQueried) {
+	if rec, ok := stp.st.log.Stored(evt.TaskID); ok {
 		stp.replyTaskStatus(evt.Request, evt.KeyHash, rec.Status())
 		return
 	}
@@ -66,7 +66,7 @@
 	for _, per := range stp.st.view.Peers() {
 		if per.Connected {
 			qry.awaited++
-			stp.send(per.ID, message.TaskAsk{AskID: id, TaskID: evt.TaskID})
+			stp.send(per.ID, message.TaskQuery{RequestID: id, TaskID: evt.TaskID})
 		}
 	}
 	if qry.awaited == 0 {
@@ -81,29 +81,29 @@
 		stp.refuseNotRun(request, outcome.CodeUnknownTask, "No entry holds such a task.")
 		return
 	}
-	stp.emit(effect.TellTask{Request: request, Status: sts})
+	stp.emit(effect.ReplyTaskStatus{Request: request, Status: sts})
 }
 
-func (stp *step) handleTaskQuery(from string, msg message.TaskAsk) {
-	rec, ok := stp.st.log.Kept(msg.TaskID)
-	stp.send(from, message.TaskTold{AskID: msg.AskID, Found: ok, Status: rec.Status()})
+func (stp *step) handleTaskQuery(from string, msg message.TaskQuery) {
+	rec, ok := stp.st.log.Stored(msg.TaskID)
+	stp.send(from, message.TaskReply{RequestID: msg.RequestID, Found: ok, Status: rec.Status()})
 }
 
-func (stp *step) handleTaskReply(_ string, msg message.TaskTold) {
-	qry, ok := stp.st.queries.tasks.Get(msg.AskID)
+func (stp *step) handleTaskReply(_ string, msg message.TaskReply) {
+	qry, ok := stp.st.queries.tasks.Get(msg.RequestID)
 	if !ok {
 		return
 	}
 	qry.awaited--
 	switch {
 	case msg.Found:
-		stp.st.queries.tasks = stp.st.queries.tasks.Delete(msg.AskID)
+		stp.st.queries.tasks = stp.st.queries.tasks.Delete(msg.RequestID)
 		stp.replyTaskStatus(qry.request, qry.keyHash, msg.Status)
 	case qry.awaited == 0:
-		stp.st.queries.tasks = stp.st.queries.tasks.Delete(msg.AskID)
+		stp.st.queries.tasks = stp.st.queries.tasks.Delete(msg.RequestID)
 		stp.refuseNotRun(qry.request, outcome.CodeUnknownTask, "No entry holds such a task.")
 	default:
-		stp.st.queries.tasks = stp.st.queries.tasks.Set(msg.AskID, qry)
+		stp.st.queries.tasks = stp.st.queries.tasks.Set(msg.RequestID, qry)
 	}
 }
 
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -19,12 +19,12 @@
 }
 
 // TickWithin returns the longest time until the next event.Tick. It is
-// event.TickEvery while work waits or an edit is in progress.
+// event.TickInterval while work waits or an edit is in progress.
 func (sta State) TickWithin() time.Duration {
 	if sta.backlogged.Len() > 0 || sta.dirty.Len() > 0 || sta.delayed.Len() > 0 || len(sta.edits.pending) > 0 || sta.log.PendingCount() > 0 {
-		return event.TickEvery
+		return event.TickInterval
 	}
-	return event.IdleTickEvery
+	return event.IdleTickInterval
 }
 
 // step is one call of Reduce: the state under construction and the effects so
@@ -47,7 +47,7 @@
 		stp.handlePeerUp(evt)
 	case event.PeerDown:
 		stp.handlePeerDown(evt)
-	case event.PeerSaid:
+	case event.MessageReceived:
 		stp.handlePeerMessage(evt.Member, evt.Message)
 	case event.StoreAnswered:
 		stp.handleStoreResult(evt)
@@ -55,13 +55,13 @@
 		stp.readHead()
 	case event.FleetListed:
 		stp.handleFleetList(evt)
-	case event.OperatorAsked:
+	case event.ChangeRequested:
 		stp.handleEditRequest(evt)
 	case event.MembersGone:
 		stp.markGone(evt.IDs, "reported by an operator")
-	case event.StatusAsked:
-		stp.emit(effect.AnswerStatus{Request: evt.Request, Status: stp.status()})
-	case event.ShutdownAsked:
+	case event.StatusRequested:
+		stp.emit(effect.ReplyStatus{Request: evt.Request, Status: stp.status()})
+	case event.ShutdownRequested:
 		stp.beginShutdown()
 	case event.AcceptingStopped:
 		stp.st.draining.stopped = true
@@ -81,7 +81,7 @@
 		stp.handleAttemptEnded(evt)
 	case event.TaskSubmitted:
 		stp.handleTaskSubmitted(evt)
-	case event.TaskAsked:
+	case event.TaskQueried:
 		stp.handleTaskStatusRequest(evt)
 	case event.TaskCancelled:
 		stp.handleTaskCancelled(evt)
@@ -169,7 +169,7 @@
 		stp.handleHeartbeat(from, msg)
 	case message.Edits:
 		stp.handleEdits(from, msg)
-	case message.SnapshotAsk:
+	case message.SnapshotRequest:
 		stp.sendMissingEdits(from, msg.Have)
 	case message.Snapshot:
 		stp.handleSnapshot(msg)
@@ -179,7 +179,7 @@
 		stp.handleGrants(from, msg)
 	case message.Recall:
 		stp.handleRecall(msg)
-	case message.PermitAsk:
+	case message.PermitRequest:
 		stp.handlePermitRequest(from, msg)
 	case message.PermitTransfer:
 		stp.handlePermitTransfer(from, msg)
@@ -187,17 +187,17 @@
 		stp.handleFreeze(from, msg)
 	case message.Frozen:
 		stp.handleFrozen(from, msg)
-	case message.TaskAsk:
+	case message.TaskQuery:
 		stp.handleTaskQuery(from, msg)
-	case message.TaskTold:
+	case message.TaskReply:
 		stp.handleTaskReply(from, msg)
-	case message.Reserve:
+	case message.ReserveKey:
 		stp.handleReserve(from, msg)
-	case message.Reserved:
+	case message.ReserveKeyReply:
 		stp.handleReserved(from, msg)
-	case message.Keep:
+	case message.KeyHandover:
 		stp.handleKeep(msg)
-	case message.Release:
+	case message.ReleaseKey:
 		stp.handleRelease(from, msg)
 	}
 }
--- a/internal/core/entry/removal.go
+++ b/internal/core/entry/removal.go
@@ -65,7 +65,7 @@
 // configuration is no longer fresh, its requests end at their deadlines, and
 // its tasks end with their leases.
 func StopTimeout(cfg *table.Config) time.Duration {
-	return member.FreshFor + max(cfg.Tables.LongestRequest(), TaskLease) + clockDriftMargin
+	return member.FreshnessTimeout + max(cfg.Tables.LongestRequestDeadline(), TaskLease) + clockDriftMargin
 }
 
 func (stp *step) tickRemoval() {
@@ -134,7 +134,7 @@
 // heartbeat.
 func (stp *step) hasStopped(id string) bool {
 	per, known := stp.st.view.Peer(id)
-	return !known || stp.st.view.IsGone(id) || stp.now.Sub(per.HeardAt) >= StopTimeout(stp.st.config)
+	return !known || stp.st.view.IsGone(id) || stp.now.Sub(per.LastSeenAt) >= StopTimeout(stp.st.config)
 }
 
 // handleDismissal ends the entry, because another one considers it departed and
--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -39,7 +39,7 @@
 func (stp *step) reserve(wrk work.Work, idempotencyKey string) {
 	sum := sha256.Sum256([]byte(wrk.Team + "\x00" + idempotencyKey))
 	hash := hex.EncodeToString(sum[:])
-	homes := idempotency.Homes(stp.st.config.VoterIDs(), hash)
+	homes := idempotency.Replicas(stp.st.config.VoterIDs(), hash)
 	if len(homes) == 0 {
 		stp.refuseNotRun(stp.requestOf(wrk.ID), outcome.CodeNoFreshConfig, "No voting member can remember the idempotency key.")
 		stp.forget(wrk)
@@ -52,34 +52,34 @@
 	stp.st.queries.reservations = stp.st.queries.reservations.Set(id, rsv)
 	stp.st.queries.reservationOf = stp.st.queries.reservationOf.Set(stp.requestOf(wrk.ID), hash)
 	for _, home := range homes {
-		stp.send(home, message.Reserve{AskID: id, Hash: hash})
+		stp.send(home, message.ReserveKey{RequestID: id, Hash: hash})
 	}
 }
 
-func (stp *step) handleReserve(from string, msg message.Reserve) {
+func (stp *step) handleReserve(from string, msg message.ReserveKey) {
 	if stp.st.memory.Len() > sweepThreshold && stp.random(sweepThreshold) == 0 {
-		stp.st.memory = stp.st.memory.Swept(stp.now)
+		stp.st.memory = stp.st.memory.WithoutExpired(stp.now)
 	}
-	next, fresh := stp.st.memory.WithUse(stp.now, msg.Hash, from, msg.AskID)
+	next, fresh := stp.st.memory.WithReservation(stp.now, msg.Hash, from, msg.RequestID)
 	stp.st.memory = next
-	stp.send(from, message.Reserved{AskID: msg.AskID, Hash: msg.Hash, Fresh: fresh})
+	stp.send(from, message.ReserveKeyReply{RequestID: msg.RequestID, Hash: msg.Hash, Fresh: fresh})
 }
 
-func (stp *step) handleReserved(from string, msg message.Reserved) {
-	rsv, ok := stp.st.queries.reservations.Get(msg.AskID)
+func (stp *step) handleReserved(from string, msg message.ReserveKeyReply) {
+	rsv, ok := stp.st.queries.reservations.Get(msg.RequestID)
 	if !ok || rsv.hash != msg.Hash {
 		return
 	}
 	if !msg.Fresh {
-		stp.refuseDuplicate(msg.AskID, rsv)
+		stp.refuseDuplicate(msg.RequestID, rsv)
 		return
 	}
 	if !slices.Contains(rsv.confirmed, from) {
 		rsv.confirmed = append(slices.Clip(rsv.confirmed), from)
 	}
-	stp.st.queries.reservations = stp.st.queries.reservations.Set(msg.AskID, rsv)
+	stp.st.queries.reservations = stp.st.queries.reservations.Set(msg.RequestID, rsv)
 	if len(rsv.confirmed) >= rsv.needed && !stp.awaitsLiveHome(rsv) {
-		stp.finishReservation(msg.AskID, rsv)
+		stp.finishReservation(msg.RequestID, rsv)
 	}
 }
 
@@ -106,17 +106,17 @@
 // became their homes by a change of the voters.
 func (stp *step) handOverKeys(old []string) {
 	for _, hdo := range stp.st.memory.Handovers(stp.now, stp.st.settings.ID, old, stp.st.config.VoterIDs()) {
-		var handedOver []message.Kept
+		var handedOver []message.IdempotencyKey
 		for _, key := range hdo.Keys {
-			handedOver = append(handedOver, message.Kept{Hash: key.Hash, Owner: key.Owner, AgeMillis: key.Age.Milliseconds()})
+			handedOver = append(handedOver, message.IdempotencyKey{Hash: key.Hash, Owner: key.Owner, AgeMillis: key.Age.Milliseconds()})
 		}
 		for part := range slices.Chunk(handedOver, maxKeysPerMessage) {
-			stp.send(hdo.To, message.Keep{Keys: part})
+			stp.send(hdo.To, message.KeyHandover{Keys: part})
 		}
 	}
 }
 
-func (stp *step) handleKeep(msg message.Keep) {
+func (stp *step) handleKeep(msg message.KeyHandover) {
 	var keys []idempotency.Key
 	for _, kpt := range msg.Keys {
 		age := time.Duration(kpt.AgeMillis) * time.Millisecond
@@ -148,13 +148,13 @@
 		return
 	}
 	stp.st.queries.reservationOf = stp.st.queries.reservationOf.Delete(request)
-	for _, home := range idempotency.Homes(stp.st.config.VoterIDs(), hash) {
-		stp.send(home, message.Release{Hash: hash})
+	for _, home := range idempotency.Replicas(stp.st.config.VoterIDs(), hash) {
+		stp.send(home, message.ReleaseKey{Hash: hash})
 	}
 }
 
-func (stp *step) handleRelease(from string, msg message.Release) {
-	stp.st.memory = stp.st.memory.WithoutUse(msg.Hash, from)
+func (stp *step) handleRelease(from string, msg message.ReleaseKey) {
+	stp.st.memory = stp.st.memory.WithoutReservation(msg.Hash, from)
 }
 
 func (stp *step) tickReservations() {
--- a/internal/core/entry/state.go
+++ b/internal/core/entry/state.go
@@ -118,7 +118,7 @@
 	logs    logState
 	queries queryState
 	// memory holds the idempotency keys that this entry is a home of.
-	memory    idempotency.Memory
+	memory    idempotency.Registry
 	draining  drainState
 	plannedAt time.Time
 	// emptyPlanInput is the input of the last plan without moves.
@@ -237,7 +237,7 @@
 		log:            task.NewLog(),
 		queries:        newQueryState(),
 		logs:           newLogState(),
-		memory:         idempotency.NewMemory(),
+		memory:         idempotency.NewRegistry(),
 		store:          newStoreState(),
 	}
 }
@@ -257,5 +257,5 @@
 // HeldPermits returns the number of a team's permits that the entry holds. It
 // is negative while the entry is in debt.
 func (sta State) HeldPermits(team string) int {
-	return sta.ledger.Rights(sta.config, team)
+	return sta.ledger.Permits(sta.config, team)
 }
--- a/internal/core/scheduler/attempts_test.go
+++ b/internal/core/scheduler/attempts_test.go
@@ -15,8 +15,8 @@
 }
 
 // ended is a VM's answer to a look that lists one end.
-func ended(vm worker.VM, sent time.Time, end worker.End) Looked {
-	return Looked{VM: vm, Sent: sent, Report: worker.Report{Born: vm.Born, Clock: time.Second, Ends: []worker.End{end}}}
+func ended(vm worker.VM, sent time.Time, end worker.End) PollAnswered {
+	return PollAnswered{VM: vm, Sent: sent, Report: worker.Report{Born: vm.Born, Clock: time.Second, Ends: []worker.End{end}}}
 }
 
 // TestFailuresHeardInReverse takes over from a dispatcher that saw two runs of a
@@ -35,10 +35,10 @@
 	name := job.Task{Job: spe.ID}
 	reduce := func(events ...Event) []Effect {
 		now = now.Add(10 * time.Millisecond)
-		return sta.Reduce(now, append(events, ViewConfirmed{At: now}))
+		return sta.Reduce(now, append(events, JobWatchProgressed{At: now}))
 	}
 	reduce(CatalogChanged{cat}, VMRegistered{one}, VMRegistered{oth}, JobAccepted{Spec: spe, Revision: 5}, Loaded{})
-	reduce(MachinesListed{Asked: now, Machines: []worker.Machine{
+	reduce(MachinesListed{RequestedAt: now, Machines: []worker.Machine{
 		{Name: "m-1", Pool: "lots", State: worker.MachineUp, VM: one.ID}, {Name: "m-2", Pool: "lots", State: worker.MachineUp, VM: oth.ID},
 	}})
 	effects := reduce(ended(oth, now, worker.End{Number: 1, Task: name, Run: 2, Kind: worker.EndFailed}))
--- a/internal/core/scheduler/load.go
+++ b/internal/core/scheduler/load.go
@@ -70,10 +70,10 @@
 	work, cores := map[string]float64{}, map[string]float64{}
 	allWork, allCores := 0.0, 0.0
 	for _, liv := range sta.jobList {
-		if liv.final != "" || liv.spec.Lasts() {
+		if liv.final != "" || liv.spec.IsLongRunning() {
 			continue
 		}
-		factor := sta.learned[liv.spec.Queue].factor()
+		factor := sta.runtimeRatios[liv.spec.Queue].factor()
 		pool := sta.poolOf(liv)
 		for _, occ := range liv.occs {
 			for i := range occ.stages {
@@ -126,23 +126,23 @@
 			}
 		}
 	}
-	return sum / time.Duration(max(1, sta.askers))
+	return sum / time.Duration(max(1, sta.advisorSlots))
 }
 
 // Admit decides whether a queue takes another job. The reason is empty if it
 // does. A job is not taken if what was accepted before takes so long that the job
 // would be worthless, or if no machine can hold one of its tasks.
 func (loa Load) Admit(que *catalog.Queue, spe job.Spec) (after time.Duration, reason string) {
-	if spe.Lasts() || spe.Occurrences > 0 {
+	if spe.IsLongRunning() || spe.Occurrences > 0 {
 		return 0, ""
 	}
 	for _, ste := range spe.Steps {
-		fits := func(size job.Size) bool { return ste.Room().Fits(size) }
+		fits := func(size job.Size) bool { return ste.Reservation().Fits(size) }
 		if len(loa.Sizes) > 0 && !slices.ContainsFunc(loa.Sizes, fits) {
 			return unfitRetry, "no machine can hold a task of the job"
 		}
 	}
-	objective := que.Objective(spe.Chain(nil, nil))
+	objective := que.Objective(spe.CriticalPath(nil, nil))
 	if wait := loa.Backlog[que.Name]; wait > worthlessFactor*objective {
 		return wait - objective, "the backlog is too long for the job to be in time"
 	}
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -12,15 +12,15 @@
 	sta.now = now
 	sta.effects = nil
 	for _, evt := range events {
-		if sta.gaveUp {
+		if sta.steppedDown {
 			return sta.effects
 		}
 		sta.handle(evt)
 	}
-	if sta.gaveUp {
+	if sta.steppedDown {
 		return sta.effects
 	}
-	sta.expire()
+	sta.expireLeases()
 	sta.dueOccurrences()
 	if sta.loaded {
 		sta.planWaves()
@@ -28,7 +28,7 @@
 		sta.assign()
 	}
 	sta.pursueStops()
-	sta.look()
+	sta.pollHosts()
 	sta.save()
 	sta.listMachines()
 	return sta.effects
@@ -57,7 +57,7 @@
 		sta.machinesListed(evt)
 	case Committed:
 		sta.committed(evt)
-	case WaveAsked:
+	case WaveRequested:
 		sta.waveAsked(evt)
 	case WaveWithdrawn:
 		delete(sta.waves, evt.Number)
@@ -71,14 +71,14 @@
 // handleAdvice takes in what concerns the advisor, and other events.
 func (sta *State) handleAdvice(evt Event) {
 	switch evt := evt.(type) {
-	case Advised:
+	case AdvisorAnswered:
 		sta.advised(evt)
-	case AskersChanged:
-		sta.askers = evt.Count
-	case EndedListed:
+	case AdvisorSlotsChanged:
+		sta.advisorSlots = evt.Count
+	case EndedJobsListed:
 		sta.endedListed(evt)
-	case ViewConfirmed:
-		sta.confirmed = evt.At
+	case JobWatchProgressed:
+		sta.jobsSyncedAt = evt.At
 	default:
 		sta.handleAnswer(evt)
 	}
@@ -87,20 +87,20 @@
 // handleAnswer takes in what VMs answered. Answers of former lives are void.
 func (sta *State) handleAnswer(evt Event) {
 	switch evt := evt.(type) {
-	case Looked:
-		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameLife(evt.VM) {
-			sta.looked(hos, evt)
+	case PollAnswered:
+		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameIncarnation(evt.VM) {
+			sta.pollAnswered(hos, evt)
 		}
 	case StartAnswered:
-		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameLife(evt.VM) {
+		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameIncarnation(evt.VM) {
 			sta.startAnswered(hos, evt)
 		}
 	case StopAnswered:
-		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameLife(evt.VM) {
+		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameIncarnation(evt.VM) {
 			sta.stopAnswered(hos, evt)
 		}
 	case PaceAnswered:
-		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameLife(evt.VM) {
+		if hos := sta.hosts[evt.VM.ID]; hos != nil && hos.vm.SameIncarnation(evt.VM) {
 			sta.paceAnswered(hos, evt)
 		}
 	default:
@@ -108,13 +108,13 @@
 	}
 }
 
-func (sta *State) giveUp(reason string) {
-	sta.gaveUp = true
-	sta.emit(GiveUp{Reason: reason})
+func (sta *State) stepDown(reason string) {
+	sta.steppedDown = true
+	sta.emit(StepDown{Reason: reason})
 }
 
-// indexPools sorts the hosts, and into their pools.
-func (sta *State) indexPools() {
+// indexHosts sorts the hosts, and into their pools.
+func (sta *State) indexHosts() {
 	pools := make(map[string][]*host, len(sta.pools))
 	sta.hostList = make([]*host, 0, len(sta.hosts))
 	for _, id := range slices.Sorted(maps.Keys(sta.hosts)) {
--- a/internal/manager/view.go
+++ b/internal/manager/view.go
@@ -11,7 +11,7 @@
 	"github.com/balsamgauge/balsamgauge/platform"
 )
 
-// operatorView is what this process knows of what the operator wrote. It is
+// operatorView is this process's copy of what the operator has written. It is
 // safe for concurrent use.
 type operatorView struct {
 	log *decisionlog.Log
@@ -57,11 +57,12 @@
 	return opv.view
 }
 
+// confirm records that the view was the newest when a read or watch was sent.
 func (opv *operatorView) confirm(sent time.Time) {
 	opv.mu.Lock()
 	defer opv.mu.Unlock()
 	if opv.view.Catalog.Revision != 0 && sent.After(opv.view.Confirmed) {
-		opv.view.Confirmed, opv.view.Heard = sent, opv.now()
+		opv.view.Confirmed, opv.view.LastContact = sent, opv.now()
 	}
 }
 
@@ -72,22 +73,22 @@
 	for _, itm := range items {
 		opv.apply(kv.Change{Item: itm})
 	}
-	opv.announce()
+	opv.notify()
 }
 
 func (opv *operatorView) change(cha kv.Change) {
 	opv.mu.Lock()
 	defer opv.mu.Unlock()
 	opv.apply(cha)
-	opv.announce()
+	opv.notify()
 }
 
-func (opv *operatorView) announce() {
+func (opv *operatorView) notify() {
 	close(opv.changed)
 	opv.changed = make(chan struct{})
 }
 
-// apply takes in one change. Entries that can't be read are left out.
+// apply applies one change. Entries that can't be decoded are ignored.
 func (opv *operatorView) apply(cha kv.Change) {
 	itm := cha.Item
 	if az, ok := platform.ParseEvacuation(itm.Key); ok {
@@ -111,9 +112,9 @@
 		}
 		opv.view.Catalog = cat
 		opv.log.Event("configuration_applied", decisionlog.Fields{"version": cat.Version, "revision": cat.Revision, "queues": len(cat.Queues), "accounts": len(cat.Accounts)})
-	case platform.IsWave(itm.Key) && cha.Deleted:
+	case platform.IsWaveKey(itm.Key) && cha.Deleted:
 		delete(opv.waves, itm.Key)
-	case platform.IsWave(itm.Key):
+	case platform.IsWaveKey(itm.Key):
 		wav, err := platform.DecodeWave(itm)
 		if err != nil {
 			opv.log.Event("entry_ignored", decisionlog.Fields{"key": itm.Key, "revision": itm.Revision, "error": err.Error()})
--- a/internal/outernames/names_test.go
+++ b/internal/outernames/names_test.go
@@ -47,16 +47,16 @@
 	{"workers task", "json", event.WorkerTask{}},
 	{"workers attempt", "json", effect.TaskAttempt{}},
 	{"platform vm", "json", vm.VM{}},
-	{"advisory question", "msgpack", advisory.Question{}},
+	{"advisory question", "msgpack", advisory.Query{}},
 	{"advisory tickets", "msgpack", advisory.Tickets{}},
 	{"peers hello", "json", peerlink.Hello{}},
 }
 
 // messages lists one value of each type of message between entries.
 var messages = []message.Message{
-	message.Heartbeat{}, message.Edits{}, message.SnapshotAsk{}, message.Snapshot{}, message.Demand{}, message.Grants{},
-	message.PermitAsk{}, message.PermitTransfer{}, message.Freeze{}, message.Frozen{}, message.TaskAsk{}, message.TaskTold{},
-	message.Reserve{}, message.Reserved{}, message.Release{}, message.Recall{}, message.Keep{},
+	message.Heartbeat{}, message.Edits{}, message.SnapshotRequest{}, message.Snapshot{}, message.Demand{}, message.Grants{},
+	message.PermitRequest{}, message.PermitTransfer{}, message.Freeze{}, message.Frozen{}, message.TaskQuery{}, message.TaskReply{},
+	message.ReserveKey{}, message.ReserveKeyReply{}, message.ReleaseKey{}, message.Recall{}, message.KeyHandover{},
 }
 
 // TestNames guards against a renamed field, value or type of message that
--- a/internal/runner/operators.go
+++ b/internal/runner/operators.go
@@ -93,7 +93,7 @@
 
 func (rnr *Runner) serveStatus(wrt http.ResponseWriter, req *http.Request) {
 	exc := rnr.exchanges.Open(exchange.Request{})
-	rnr.Post(event.StatusAsked{Request: exc.ID})
+	rnr.Post(event.StatusRequested{Request: exc.ID})
 	if rep, ok := rnr.wait(req, exc).(exchange.Reported); ok {
 		writeJSON(wrt, http.StatusOK, rep.Status)
 	}
@@ -165,7 +165,7 @@
 // key is shown only when the change was accepted.
 func (rnr *Runner) change(wrt http.ResponseWriter, req *http.Request, chg table.Change, base int64, secret string) {
 	exc := rnr.exchanges.Open(exchange.Request{})
-	rnr.Post(event.OperatorAsked{Request: exc.ID, Change: chg, Base: base})
+	rnr.Post(event.ChangeRequested{Request: exc.ID, Change: chg, Base: base})
 	rep, ok := rnr.wait(req, exc).(exchange.Changed)
 	if !ok {
 		return
@@ -176,7 +176,7 @@
 	if ans.Accepted {
 		rsp.Key = secret
 	} else {
-		status = ans.Code.Status()
+		status = ans.Code.HTTPStatus()
 	}
 	writeJSON(wrt, status, rsp)
 }
