--- a/internal/core/entry/demand.go
+++ b/internal/core/entry/demand.go
@@ -184,7 +184,7 @@
 // grant runs the pool's dispatcher and sends its grants and recalls.
 func (stp *step) grant(pool string) {
 	dsp, ok := stp.st.dispatchers.Get(pool)
-	rul, known := stp.ruleOf(pool)
+	inp, known := stp.dispatcherInput(pool)
 	if !ok || !known {
 		return
 	}
@@ -192,7 +192,7 @@
 	if dsp.IsGathering(stp.now, live) {
 		return
 	}
-	dsp, dcs, rcs := dsp.Decide(stp.now, rul)
+	dsp, dcs, rcs := dsp.Decide(stp.now, inp)
 	if len(dcs) == 0 && len(rcs) == 0 {
 		return
 	}
@@ -213,8 +213,8 @@
 	}
 }
 
-// ruleOf returns the rule by which slots of a pool are granted.
-func (stp *step) ruleOf(pool string) (rul dispatch.Input, ok bool) {
+// dispatcherInput returns what the dispatcher of a pool decides on.
+func (stp *step) dispatcherInput(pool string) (inp dispatch.Input, ok bool) {
 	poo, ok := stp.st.config.Pool(pool)
 	if !ok {
 		return dispatch.Input{}, false
--- a/internal/core/entry/edits.go
+++ b/internal/core/entry/edits.go
@@ -70,9 +70,9 @@
 	next *table.Config
 }
 
-func (stp *step) handleEditRequest(evt event.ChangeRequested) {
+func (stp *step) handleChangeRequest(evt event.ChangeRequested) {
 	if len(stp.st.edits.pending) >= maxPendingEdits {
-		stp.answerOperator(evt.Request, outcome.CodeNotAccepted, "Too many edits wait at this entry.")
+		stp.replyChange(evt.Request, outcome.CodeNotAccepted, "Too many edits wait at this entry.")
 		return
 	}
 	stp.submitEdit(pendingEdit{request: evt.Request, change: evt.Change, base: evt.Base})
@@ -312,12 +312,12 @@
 		return
 	}
 	if pnd.request != 0 {
-		stp.answerOperator(pnd.request, cod, msg)
+		stp.replyChange(pnd.request, cod, msg)
 	}
 	stp.dropCurrentEdit()
 }
 
-func (stp *step) answerOperator(request uint64, cod outcome.Code, msg string) {
+func (stp *step) replyChange(request uint64, cod outcome.Code, msg string) {
 	stp.emit(effect.ReplyChange{
 		Request: request, Revision: stp.st.config.Revision, Code: cod, Message: msg,
 	})
--- a/internal/core/entry/queries.go
+++ b/internal/core/entry/queries.go
@@ -49,8 +49,8 @@
 	if rou, ok := stp.st.config.Route(queue); ok && rou.OpenTeam == team && keyHash == "" {
 		return true
 	}
-	asker, ok := key.TeamOf(stp.st.config, keyHash)
-	return ok && asker == team
+	keyTeam, ok := key.TeamOf(stp.st.config, keyHash)
+	return ok && keyTeam == team
 }
 
 // handleTaskStatusRequest replies with the status of a task, querying the
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -56,7 +56,7 @@
 	case event.FleetListed:
 		stp.handleFleetList(evt)
 	case event.ChangeRequested:
-		stp.handleEditRequest(evt)
+		stp.handleChangeRequest(evt)
 	case event.MembersGone:
 		stp.markGone(evt.IDs, "reported by an operator")
 	case event.StatusRequested:
@@ -192,13 +192,13 @@
 	case message.TaskReply:
 		stp.handleTaskReply(from, msg)
 	case message.ReserveKey:
-		stp.handleReserve(from, msg)
+		stp.handleReserveKey(from, msg)
 	case message.ReserveKeyReply:
-		stp.handleReserved(from, msg)
+		stp.handleReserveKeyReply(from, msg)
 	case message.KeyHandover:
-		stp.handleKeep(msg)
+		stp.handleKeyHandover(msg)
 	case message.ReleaseKey:
-		stp.handleRelease(from, msg)
+		stp.handleReleaseKey(from, msg)
 	}
 }
 
--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -12,7 +12,7 @@
 	"github.com/balsamgauge/balsamgauge/pkg/outcome"
 )
 
-// Limits of the memory of idempotency keys.
+// Limits of the registry of idempotency keys.
 const (
 	// sweepThreshold is the number of keys above which expired ones are
 	// removed.
@@ -26,21 +26,22 @@
 type pendingReservation struct {
 	work work.ID
 	hash string
-	// confirmed lists the homes that replied that the key is new.
+	// confirmed lists the replicas that replied that the key is new.
 	confirmed []string
-	// homes lists the members that were queried; needed of them must confirm.
-	homes  []string
-	needed int
-	since  time.Time
+	// replicas lists the members that were queried; needed of them must
+	// confirm.
+	replicas []string
+	needed   int
+	since    time.Time
 }
 
-// reserve stores a request's idempotency key at its home members before the
-// request is queued.
+// reserve requests a reservation of the idempotency key from the key's replicas.
+// The request is queued once enough of them confirm.
 func (stp *step) reserve(wrk work.Work, idempotencyKey string) {
 	sum := sha256.Sum256([]byte(wrk.Team + "\x00" + idempotencyKey))
 	hash := hex.EncodeToString(sum[:])
-	homes := idempotency.Replicas(stp.st.config.VoterIDs(), hash)
-	if len(homes) == 0 {
+	replicas := idempotency.Replicas(stp.st.config.VoterIDs(), hash)
+	if len(replicas) == 0 {
 		stp.refuseNotRun(stp.requestOf(wrk.ID), outcome.CodeNoFreshConfig, "No voting member can remember the idempotency key.")
 		stp.forget(wrk)
 		return
@@ -48,24 +49,24 @@
 	stp.putWork(wrk.WithPhase(work.PhaseRecording))
 	stp.st.queries.lastID++
 	id := stp.st.queries.lastID
-	rsv := pendingReservation{work: wrk.ID, hash: hash, homes: homes, needed: len(homes)/2 + 1, since: stp.now}
+	rsv := pendingReservation{work: wrk.ID, hash: hash, replicas: replicas, needed: len(replicas)/2 + 1, since: stp.now}
 	stp.st.queries.reservations = stp.st.queries.reservations.Set(id, rsv)
 	stp.st.queries.reservationOf = stp.st.queries.reservationOf.Set(stp.requestOf(wrk.ID), hash)
-	for _, home := range homes {
-		stp.send(home, message.ReserveKey{RequestID: id, Hash: hash})
+	for _, replica := range replicas {
+		stp.send(replica, message.ReserveKey{RequestID: id, Hash: hash})
 	}
 }
 
-func (stp *step) handleReserve(from string, msg message.ReserveKey) {
-	if stp.st.memory.Len() > sweepThreshold && stp.random(sweepThreshold) == 0 {
-		stp.st.memory = stp.st.memory.WithoutExpired(stp.now)
+func (stp *step) handleReserveKey(from string, msg message.ReserveKey) {
+	if stp.st.registry.Len() > sweepThreshold && stp.random(sweepThreshold) == 0 {
+		stp.st.registry = stp.st.registry.WithoutExpired(stp.now)
 	}
-	next, fresh := stp.st.memory.WithReservation(stp.now, msg.Hash, from, msg.RequestID)
-	stp.st.memory = next
+	next, fresh := stp.st.registry.WithReservation(stp.now, msg.Hash, from, msg.RequestID)
+	stp.st.registry = next
 	stp.send(from, message.ReserveKeyReply{RequestID: msg.RequestID, Hash: msg.Hash, Fresh: fresh})
 }
 
-func (stp *step) handleReserved(from string, msg message.ReserveKeyReply) {
+func (stp *step) handleReserveKeyReply(from string, msg message.ReserveKeyReply) {
 	rsv, ok := stp.st.queries.reservations.Get(msg.RequestID)
 	if !ok || rsv.hash != msg.Hash {
 		return
@@ -78,17 +79,17 @@
 		rsv.confirmed = append(slices.Clip(rsv.confirmed), from)
 	}
 	stp.st.queries.reservations = stp.st.queries.reservations.Set(msg.RequestID, rsv)
-	if len(rsv.confirmed) >= rsv.needed && !stp.awaitsLiveHome(rsv) {
+	if len(rsv.confirmed) >= rsv.needed && !stp.awaitsLiveReplica(rsv) {
 		stp.finishReservation(msg.RequestID, rsv)
 	}
 }
 
-// awaitsLiveHome reports whether a live home has not replied. It may be the
-// only one that remembers the key, because the others may have become homes
-// later.
-func (stp *step) awaitsLiveHome(rsv pendingReservation) bool {
-	for _, home := range rsv.homes {
-		if !slices.Contains(rsv.confirmed, home) && slices.Contains(stp.st.live, home) {
+// awaitsLiveReplica reports whether a live replica has not replied. It may be
+// the only one that remembers the key, because the others may have become
+// replicas later.
+func (stp *step) awaitsLiveReplica(rsv pendingReservation) bool {
+	for _, replica := range rsv.replicas {
+		if !slices.Contains(rsv.confirmed, replica) && slices.Contains(stp.st.live, replica) {
 			return true
 		}
 	}
@@ -103,9 +104,9 @@
 }
 
 // handOverKeys sends the keys that this entry remembers to the members that
-// became their homes by a change of the voters.
+// became their replicas by a change of the voters.
 func (stp *step) handOverKeys(old []string) {
-	for _, hdo := range stp.st.memory.Handovers(stp.now, stp.st.settings.ID, old, stp.st.config.VoterIDs()) {
+	for _, hdo := range stp.st.registry.Handovers(stp.now, stp.st.settings.ID, old, stp.st.config.VoterIDs()) {
 		var handedOver []message.IdempotencyKey
 		for _, key := range hdo.Keys {
 			handedOver = append(handedOver, message.IdempotencyKey{Hash: key.Hash, Owner: key.Owner, AgeMillis: key.Age.Milliseconds()})
@@ -116,13 +117,13 @@
 	}
 }
 
-func (stp *step) handleKeep(msg message.KeyHandover) {
+func (stp *step) handleKeyHandover(msg message.KeyHandover) {
 	var keys []idempotency.Key
-	for _, kpt := range msg.Keys {
-		age := time.Duration(kpt.AgeMillis) * time.Millisecond
-		keys = append(keys, idempotency.Key{Hash: kpt.Hash, Owner: kpt.Owner, Age: age})
+	for _, idk := range msg.Keys {
+		age := time.Duration(idk.AgeMillis) * time.Millisecond
+		keys = append(keys, idempotency.Key{Hash: idk.Hash, Owner: idk.Owner, Age: age})
 	}
-	stp.st.memory = stp.st.memory.WithKeys(stp.now, keys)
+	stp.st.registry = stp.st.registry.WithKeys(stp.now, keys)
 }
 
 // refuseDuplicate refuses a request whose key was seen before. This request is
@@ -148,13 +149,13 @@
 		return
 	}
 	stp.st.queries.reservationOf = stp.st.queries.reservationOf.Delete(request)
-	for _, home := range idempotency.Replicas(stp.st.config.VoterIDs(), hash) {
-		stp.send(home, message.ReleaseKey{Hash: hash})
+	for _, replica := range idempotency.Replicas(stp.st.config.VoterIDs(), hash) {
+		stp.send(replica, message.ReleaseKey{Hash: hash})
 	}
 }
 
-func (stp *step) handleRelease(from string, msg message.ReleaseKey) {
-	stp.st.memory = stp.st.memory.WithoutReservation(msg.Hash, from)
+func (stp *step) handleReleaseKey(from string, msg message.ReleaseKey) {
+	stp.st.registry = stp.st.registry.WithoutReservation(msg.Hash, from)
 }
 
 func (stp *step) tickReservations() {
--- a/internal/core/entry/state.go
+++ b/internal/core/entry/state.go
@@ -117,8 +117,8 @@
 	log     task.Log
 	logs    logState
 	queries queryState
-	// memory holds the idempotency keys that this entry is a home of.
-	memory    idempotency.Registry
+	// registry holds the idempotency keys that this entry is a replica of.
+	registry  idempotency.Registry
 	draining  drainState
 	plannedAt time.Time
 	// emptyPlanInput is the input of the last plan without moves.
@@ -237,7 +237,7 @@
 		log:            task.NewLog(),
 		queries:        newQueryState(),
 		logs:           newLogState(),
-		memory:         idempotency.NewRegistry(),
+		registry:       idempotency.NewRegistry(),
 		store:          newStoreState(),
 	}
 }
