--- a/internal/core/scheduler/assign.go
+++ b/internal/core/scheduler/assign.go
@@ -8,20 +8,20 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/priority"
 )
 
-// waitingStage is a stage with tasks that wait for room.
+// waitingStage is a stage with tasks that wait for free capacity.
 type waitingStage struct {
 	stage       *stage
 	priorityKey priority.Key
 }
 
-// viewAge bounds how old the view of jobs may be to start tasks by it: a job may
-// have been cancelled since. A watch that went silent is noticed and replaced in
-// less.
-const viewAge = 1500 * time.Millisecond
+// maxJobStaleness is the maximum age of the known state of jobs at which tasks
+// may start, as a job may have been cancelled since. A silent watch is
+// detected and replaced in less time.
+const maxJobStaleness = 1500 * time.Millisecond
 
-// assign starts tasks where there is room, in the order of priority.
+// assign starts waiting tasks in order of priority where there is free capacity.
 func (sta *State) assign() {
-	if sta.now.Sub(sta.jobsSyncedAt) > viewAge {
+	if sta.now.Sub(sta.jobsSyncedAt) > maxJobStaleness {
 		return
 	}
 	formerRunsMayExist := sta.formerRunsMayExist()
@@ -39,7 +39,7 @@
 					continue
 				}
 				if stg.blockers > 0 {
-					if sta.adviceFor(liv.spec.Queue) != nil && stg.isNext() {
+					if sta.adviceFor(liv.spec.Queue) != nil && stg.prerequisitesStarted() {
 						upcoming = append(upcoming, stg)
 					}
 					continue
@@ -57,13 +57,13 @@
 		}
 	}
 	for _, stg := range upcoming {
-		sta.wantAdvice(stg, sta.usableHosts(sta.poolOf(stg.liveJob)))
+		sta.enqueueAdvisorQuery(stg, sta.usableHosts(sta.poolOf(stg.liveJob)))
 	}
-	sta.ask()
+	sta.sendAdvisorQueries()
 }
 
-// poolOf returns the pool that runs a job's tasks. It outlasts the removal of
-// the job's queue.
+// poolOf returns the pool that runs a job's tasks, also after the job's queue
+// has been removed.
 func (sta *State) poolOf(liv *liveJob) string {
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
 		liv.pool = que.Pool
@@ -71,6 +71,7 @@
 	return liv.pool
 }
 
+// priorityKey returns the key that orders a stage by priority.
 func (sta *State) priorityKey(stg *stage) priority.Key {
 	liv := stg.liveJob
 	occ := liv.occs[stg.occ]
@@ -78,10 +79,10 @@
 	if que := sta.catalog.Queue(liv.spec.Queue); que != nil {
 		priorityKey.Priority = que.Priority
 	}
-	priorityKey.Remaining = sta.chain(liv.spec, func(step int) bool { return occ.stages[step].left > 0 })
+	priorityKey.Remaining = sta.criticalPath(liv.spec, func(step int) bool { return occ.stages[step].left > 0 })
 	factor := sta.runtimeRatios[liv.spec.Queue].factor()
 	for i := range occ.stages {
-		priorityKey.Work += occ.stages[i].work(factor)
+		priorityKey.Work += occ.stages[i].remainingWork(factor)
 	}
 	priorityKey.Deadline = liv.deadline
 	if liv.spec.Occurrences > 0 {
@@ -90,12 +91,13 @@
 	return priorityKey
 }
 
-// work returns the core-seconds that a stage has yet to do, by its estimates
-// times a factor.
-func (stg *stage) work(factor float64) float64 {
+// remainingWork returns the estimated core-seconds of the tasks that are not
+// done, scaled by a factor.
+func (stg *stage) remainingWork(factor float64) float64 {
 	return stg.step.Size.Cores() * float64(stg.left) * stg.step.Estimate.Seconds() * factor
 }
 
+// usableHosts returns the hosts of a pool on which new tasks may start.
 func (sta *State) usableHosts(pool string) (hosts []*host) {
 	for _, hos := range sta.pools[pool] {
 		if hos.usable(sta.now) && !sta.zonesOut[hos.vm.AZ] {
@@ -113,21 +115,22 @@
 		sta.placeEach(stg, hosts)
 	}
 	if stg.waiting > 0 {
-		sta.wantAdvice(stg, hosts)
+		sta.enqueueAdvisorQuery(stg, hosts)
 	}
 }
 
-// placeEach starts those waiting tasks of a stage that fit.
+// placeEach starts the waiting tasks of a stage one by one, as long as they
+// fit.
 func (sta *State) placeEach(stg *stage, hosts []*host) {
 	for i := range stg.tasks {
 		tas := &stg.tasks[i]
 		if tas.phase != phaseWaiting || sta.now.Before(tas.notBefore) {
 			continue
 		}
-		if !sta.underCap(stg, 1) {
+		if !sta.withinCap(stg, 1) {
 			return
 		}
-		hos := sta.choose(stg, i, hosts, nil)
+		hos := sta.chooseHost(stg, i, hosts, nil)
 		if hos == nil {
 			return
 		}
@@ -135,8 +138,9 @@
 	}
 }
 
-// underCap reports whether a client account may run n more tasks of a stage.
-func (sta *State) underCap(stg *stage, n int) bool {
+// withinCap reports whether n more tasks of a stage fit under the cap of its
+// account.
+func (sta *State) withinCap(stg *stage, n int) bool {
 	acc := sta.catalog.Account(stg.liveJob.spec.Account)
 	if acc == nil {
 		return true
@@ -157,18 +161,19 @@
 	sta.reserve(hos, stg, name, run, runOrdered)
 	sta.emit(Start{
 		VM: hos.vm, Task: name, Run: run, Payload: stg.liveJob.spec.Payload, Deadline: sta.extendLease(hos),
-		Checkpoint: tas.checkpoint, Ticket: stg.advice.valid(hos.vm.ID, sta.now),
+		Checkpoint: tas.checkpoint, Ticket: stg.advice.ticketFor(hos.vm.ID, sta.now),
 	})
 }
 
-// choose returns the VM where a task of a stage runs best beside those of a
-// trial, or nil.
-func (sta *State) choose(stg *stage, index int, hosts []*host, tri trial) (best *host) {
+// chooseHost returns the best host for a task of a stage, beside the tasks of
+// a trial placement, or nil if there is none.
+func (sta *State) chooseHost(stg *stage, index int, hosts []*host, tri trial) (best *host) {
 	var bestScore score
 	name := stg.task(index)
 	for _, hos := range hosts {
-		// A former run that is being stopped there would be taken for the new one.
-		if hos.runs[name] != nil || !sta.allows(stg, hos, tri[hos]) {
+		// A former run that is being stopped there would be mistaken for the new
+		// one.
+		if hos.runs[name] != nil || !sta.canRun(stg, hos, tri[hos]) {
 			continue
 		}
 		sco := sta.score(stg, hos, tri[hos])
@@ -179,9 +184,9 @@
 	return best
 }
 
-// allows reports whether a task of a stage may run on a VM beside a number of
-// others of the stage that are to start there.
-func (sta *State) allows(stg *stage, hos *host, planned int) bool {
+// canRun reports whether a task of a stage may run on a host beside a number
+// of other planned tasks of the stage.
+func (sta *State) canRun(stg *stage, hos *host, planned int) bool {
 	ste := stg.step
 	if !ste.Reservation().Times(planned + 1).Fits(hos.vm.Capacity.Minus(hos.used)) {
 		return false
@@ -189,64 +194,68 @@
 	if ste.Label != "" && !hos.vm.HasLabel(ste.Label) {
 		return false
 	}
-	if ste.MaxPerVM > 0 && hos.count(stg)+planned >= ste.MaxPerVM {
+	if ste.MaxPerVM > 0 && hos.countTasks(stg)+planned >= ste.MaxPerVM {
 		return false
 	}
-	if sta.adviceFor(stg.liveJob.spec.Queue) != nil && stg.advice.valid(hos.vm.ID, sta.now) == "" {
+	if sta.adviceFor(stg.liveJob.spec.Queue) != nil && stg.advice.ticketFor(hos.vm.ID, sta.now) == "" {
 		return false
 	}
 	return true
 }
 
-// count returns how many tasks of a stage a VM holds.
-func (hos *host) count(stg *stage) int {
+// countTasks returns the number of a stage's tasks on the host.
+func (hos *host) countTasks(stg *stage) int {
 	n := 0
-	for _, hel := range hos.runList {
-		if hel.stage == stg {
+	for _, pla := range hos.runList {
+		if pla.stage == stg {
 			n++
 		}
 	}
 	return n
 }
 
-// score says how well a task runs on a VM; lower fields only break ties.
+// score rates a host for a task. Each field breaks ties of the ones before it.
 type score struct {
-	// remote says that the task's data lies on another rack.
+	// remote reports whether the task's data is on another rack.
 	remote bool
-	// siblings is how many tasks of the step the VM holds, for steps that last.
+	// siblings is the number of the step's tasks on the host, for long-running
+	// steps.
 	siblings int
-	// disturbed is how many tasks there disturb the task or are disturbed by it.
-	disturbed int
-	// free is the share of the VM that stays free. Tasks are packed, so that
-	// other VMs become empty and can be moved.
+	// interfering is the number of tasks on the host that would slow down the
+	// task or be slowed down by it.
+	interfering int
+	// free is the share of the host's processors that stays free. Tasks are
+	// packed, so that other hosts become empty and can be moved.
 	free float64
 }
 
+// better compares the fields of two scores in order.
 func (sco score) better(oth score) bool {
 	switch {
 	case sco.remote != oth.remote:
 		return !sco.remote
 	case sco.siblings != oth.siblings:
 		return sco.siblings < oth.siblings
-	case sco.disturbed != oth.disturbed:
-		return sco.disturbed < oth.disturbed
+	case sco.interfering != oth.interfering:
+		return sco.interfering < oth.interfering
 	default:
 		return sco.free < oth.free
 	}
 }
 
+// score rates a host for a task of a stage beside a number of planned ones.
 func (sta *State) score(stg *stage, hos *host, planned int) score {
 	ste := stg.step
 	sco := score{remote: ste.DataRack != "" && !hos.vm.HasLabel(ste.DataRack)}
 	if ste.LongRunning {
-		sco.siblings = hos.count(stg) + planned
+		sco.siblings = hos.countTasks(stg) + planned
 	}
-	for _, hel := range hos.runList {
-		if hel.stage == nil {
+	for _, pla := range hos.runList {
+		if pla.stage == nil {
 			continue
 		}
-		if oth := hel.stage.step; ste.Fills && oth.TailTarget > 0 || ste.TailTarget > 0 && oth.Fills {
-			sco.disturbed++
+		if oth := pla.stage.step; ste.Fills && oth.TailTarget > 0 || ste.TailTarget > 0 && oth.Fills {
+			sco.interfering++
 		}
 	}
 	if cpu := hos.vm.Capacity.CPU; cpu > 0 {
--- a/internal/core/scheduler/waves.go
+++ b/internal/core/scheduler/waves.go
@@ -9,18 +9,18 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/worker"
 )
 
-// Times of the list of machines.
+// Intervals between requests of the list of machines.
 const (
-	// listPause is the time between two lists while something waits for them.
-	listPause = 500 * time.Millisecond
-	// listSoon is that time after an order for a machine.
-	listSoon = 60 * time.Millisecond
-	// listRest is that time while nothing does.
-	listRest = 10 * time.Second
+	// listInterval is the interval while the scheduler waits for a change.
+	listInterval = 500 * time.Millisecond
+	// listDelayAfterOrder is the interval after a machine order.
+	listDelayAfterOrder = 60 * time.Millisecond
+	// idleListInterval is the interval while nothing is expected to change.
+	idleListInterval = 10 * time.Second
 )
 
-// waveAsked takes in a wave.
-func (sta *State) waveAsked(evt WaveRequested) {
+// waveRequested adds a wave and saves its state.
+func (sta *State) waveRequested(evt WaveRequested) {
 	if wav := sta.waves[evt.Wave.Number]; wav != nil {
 		return
 	}
@@ -49,6 +49,7 @@
 	}
 }
 
+// planWave orders the upkeep that is due in one wave.
 func (sta *State) planWave(number int64, wav *wave) {
 	exists := func(name string) bool { _, ok := sta.machines.byName[name]; return ok }
 	if wav.plan.Completed(exists) && len(wav.ordered) == 0 {
@@ -57,7 +58,7 @@
 		sta.emit(SaveWave{Number: number, Begun: wav.begun(), Completed: true})
 		return
 	}
-	if !sta.maySteer() {
+	if !sta.mayOrderMachines() {
 		return
 	}
 	var cans []upkeep.Candidate
@@ -67,17 +68,17 @@
 		}
 		cans = append(cans, sta.candidate(name))
 	}
-	stp := wav.plan.Next(sta.now, cans, sta.downOf(wav)+len(wav.ordered), sta.opt.UpkeepTime)
-	for _, name := range stp.Cordon {
+	act := wav.plan.Next(sta.now, cans, sta.countMachinesDown(wav)+len(wav.ordered), sta.opt.UpkeepTime)
+	for _, name := range act.Cordon {
 		if hos := sta.hosts[sta.machines.byName[name].VM]; hos != nil {
 			hos.cordoned = true
 		}
 	}
-	for _, name := range stp.Relocate {
+	for _, name := range act.Relocate {
 		sta.relocate(name)
 	}
-	for _, name := range stp.Begin {
-		// Machines that go down before it in this round may hold tasks of the same
+	for _, name := range act.Begin {
+		// Machines ordered down earlier in this loop may hold tasks of the same
 		// step.
 		if sta.candidate(name).ExceedsBudget() {
 			continue
@@ -91,25 +92,27 @@
 	}
 }
 
-// steerDelay is how long a dispatcher keeps apart from the orders for machines
-// of a former one, which stopped to send them before its lease ended. Machines
-// do not tell terms apart.
-const steerDelay = 600 * time.Millisecond
+// machineOrderDelay is how long after the start of its tenure a dispatcher
+// gives no machine orders. The former dispatcher stopped sending them before
+// its lease ended, but some may still be in transit, and machines do not check
+// terms.
+const machineOrderDelay = 600 * time.Millisecond
 
-// maySteer reports whether orders for machines may be given.
-// After a takeover they wait for a list of machines that shows what the former
-// dispatcher ordered last.
-func (sta *State) maySteer() bool {
+// mayOrderMachines reports whether machine orders may be given. After a
+// takeover they wait for a list of machines that shows the last orders of the
+// former dispatcher.
+func (sta *State) mayOrderMachines() bool {
 	if sta.opt.Term == 1 {
 		return true
 	}
-	if sta.machines.listed.Before(sta.opt.Since.Add(steerDelay)) {
-		sta.machines.refreshDue = !sta.now.Before(sta.opt.Since.Add(steerDelay))
+	if sta.machines.listed.Before(sta.opt.Since.Add(machineOrderDelay)) {
+		sta.machines.refreshDue = !sta.now.Before(sta.opt.Since.Add(machineOrderDelay))
 		return false
 	}
 	return true
 }
 
+// begun returns the sorted names of the machines whose upkeep has begun.
 func (wav *wave) begun() (names []string) {
 	for name := range wav.plan.Begun {
 		names = append(names, name)
@@ -118,10 +121,10 @@
 	return names
 }
 
-// downOf returns how many machines of a wave are down for upkeep: those that the
-// list shows so, and those ordered since. A machine is back once the list shows
-// it up with another VM.
-func (sta *State) downOf(wav *wave) int {
+// countMachinesDown returns the number of a wave's machines that are down for
+// upkeep: those listed as such and those ordered since. A machine is up again
+// once it is listed as up with another VM.
+func (sta *State) countMachinesDown(wav *wave) int {
 	for name, dow := range wav.down {
 		mac, ok := sta.machines.byName[name]
 		back := mac.State == worker.MachineUp && mac.VM != dow.vm
@@ -139,7 +142,7 @@
 	return n
 }
 
-// candidate describes a machine that a wave may take down.
+// candidate returns the description of a machine for the plan of a wave.
 func (sta *State) candidate(name string) upkeep.Candidate {
 	mac := sta.machines.byName[name]
 	hos := sta.hosts[mac.VM]
@@ -152,85 +155,87 @@
 		return can
 	}
 	shares := map[*stage]upkeep.StepShare{}
-	var lasting []*stage
-	for _, hel := range hos.runList {
-		stg := hel.stage
+	var longRunning []*stage
+	for _, pla := range hos.runList {
+		stg := pla.stage
 		if stg == nil || stg.liveJob.final != "" {
 			continue
 		}
 		if stg.step.LongRunning {
 			sha, seen := shares[stg]
 			if !seen {
-				lasting = append(lasting, stg)
+				longRunning = append(longRunning, stg)
 			}
-			if hel.working() {
+			if pla.working() {
 				sha.Local++
 			}
 			shares[stg] = sha
 			continue
 		}
-		left := stg.step.Estimate - sta.now.Sub(hel.since)
+		left := stg.step.Estimate - sta.now.Sub(pla.since)
 		can.Remaining = max(can.Remaining, left)
-		can.LostWork += stg.step.Size.Cores() * sta.now.Sub(hel.since).Seconds()
+		can.LostWork += stg.step.Size.Cores() * sta.now.Sub(pla.since).Seconds()
 		if can.LostWork == 0 {
 			can.LostWork = stg.step.Size.Cores()
 		}
 	}
-	for _, stg := range lasting {
+	for _, stg := range longRunning {
 		sha := shares[stg]
 		sha.MayMiss = stg.step.MayMiss
-		sha.Unavailable = stg.away(hos)
+		sha.Unavailable = stg.countUnavailable(hos)
 		can.StepShares = append(can.StepShares, sha)
 	}
 	return can
 }
 
-// relocate stops one task that lasts of each step that has more of them on a
-// machine than may be away at once. It starts again on another machine.
+// relocate stops, for each long-running step with more tasks on a machine than
+// may be away at once, one of these tasks. It starts again on another machine.
 func (sta *State) relocate(name string) {
 	hos := sta.hosts[sta.machines.byName[name].VM]
 	done := map[*stage]bool{}
-	for _, hel := range hos.runList {
-		stg := hel.stage
-		if stg == nil || !stg.step.LongRunning || done[stg] || !hel.working() {
+	for _, pla := range hos.runList {
+		stg := pla.stage
+		if stg == nil || !stg.step.LongRunning || done[stg] || !pla.working() {
 			continue
 		}
-		sha := upkeep.StepShare{Local: hos.working(stg), Unavailable: stg.away(hos), MayMiss: stg.step.MayMiss}
+		sha := upkeep.StepShare{Local: hos.working(stg), Unavailable: stg.countUnavailable(hos), MayMiss: stg.step.MayMiss}
 		if !sha.NeedsRelocation() {
 			continue
 		}
 		done[stg] = true
-		sta.logDecision("task_relocated", hel.task.Job, map[string]any{"task": hel.task.String(), "run": hel.run, "vm": hos.vm.ID, "machine": name})
-		sta.stop(hel)
+		sta.logDecision("task_relocated", pla.task.Job, map[string]any{"task": pla.task.String(), "run": pla.run, "vm": hos.vm.ID, "machine": name})
+		sta.stop(pla)
 	}
 }
 
-// working reports whether the run is at work and has not been told to stop.
-func (hel *placement) working() bool { return hel.state == runRunning && hel.percent >= atWork }
+// working reports whether the run is at work and not being stopped.
+func (pla *placement) working() bool { return pla.state == runRunning && pla.percent >= percentWorking }
 
-// working counts the tasks of a stage that are at work on a VM.
+// working returns the number of a stage's tasks that are at work on the host.
 func (hos *host) working(stg *stage) int {
 	n := 0
-	for _, hel := range hos.runList {
-		if hel.stage == stg && hel.working() {
+	for _, pla := range hos.runList {
+		if pla.stage == stg && pla.working() {
 			n++
 		}
 	}
 	return n
 }
 
-// atWork is the percent of a task that lasts and is at work.
-const atWork = 100
+// percentWorking is the progress that a long-running task reports when it is
+// at work.
+const percentWorking = 100
 
-// away returns how many tasks of a stage that lasts are not at work. Those that
-// are at work on one VM are left out.
-func (stg *stage) away(but *host) int {
+// countUnavailable returns the number of tasks of a long-running stage that
+// are not at work. Tasks at work on the host except are not counted, even if
+// that host is going down.
+func (stg *stage) countUnavailable(except *host) int {
 	n := 0
 	for i := range stg.tasks {
 		hos := stg.tasks[i].host
-		if hos == but {
+		if hos == except {
 			name := stg.task(i)
-			if hel := hos.runs[name]; hel != nil && !hel.working() {
+			if pla := hos.runs[name]; pla != nil && !pla.working() {
 				n++
 			}
 			continue
@@ -239,8 +244,8 @@
 			n++
 			continue
 		}
-		for _, hel := range hos.runList {
-			if hel.stage == stg && hel.task.Index == i && !hel.working() {
+		for _, pla := range hos.runList {
+			if pla.stage == stg && pla.task.Index == i && !pla.working() {
 				n++
 			}
 		}
@@ -248,7 +253,7 @@
 	return n
 }
 
-// machineAnswered takes in the answer to an order for a machine.
+// machineAnswered handles the answer to a machine order.
 func (sta *State) machineAnswered(evt MachineAnswered) {
 	sta.logDecision("machine_answered", "", map[string]any{"machine": evt.Machine, "wave": evt.Wave, "result": evt.Result.String()})
 	if evt.Wave == 0 {
@@ -267,7 +272,7 @@
 	vm := sta.machines.byName[evt.Machine].VM
 	if evt.Result != worker.MachineOK {
 		if hos := sta.hosts[vm]; hos != nil {
-			sta.orderFailed(hos, evt.Result)
+			sta.machineOrderFailed(hos, evt.Result)
 		}
 		return
 	}
@@ -280,9 +285,9 @@
 	}
 }
 
-// orderFailed takes in that an order for a host's machine was not carried out,
-// as far as is known.
-func (sta *State) orderFailed(hos *host, res worker.MachineResult) {
+// machineOrderFailed handles that an order for a host's machine was refused or
+// is unanswered.
+func (sta *State) machineOrderFailed(hos *host, res worker.MachineResult) {
 	if res == worker.MachineUnknown {
 		hos.downAnswered = sta.now
 		sta.machines.refreshDue = true
@@ -291,7 +296,7 @@
 	hos.goingDown = false
 }
 
-// machinesListed takes in the list of machines. It tells which lives have
+// machinesListed applies the list of machines, which shows the VMs that have
 // ended.
 func (sta *State) machinesListed(evt MachinesListed) {
 	sta.machines.inFlight = false
@@ -309,16 +314,16 @@
 	}
 	sta.machineNames = slices.Sorted(maps.Keys(sta.machines.byName))
 	for _, hos := range slices.Clone(sta.hostList) {
-		sta.checkListed(hos, evt.RequestedAt)
+		sta.applyListing(hos, evt.RequestedAt)
 	}
 }
 
-// checkListed takes in what a list of machines that was asked for at a time says
-// of a host.
-func (sta *State) checkListed(hos *host, asked time.Time) {
+// applyListing updates a host from a list of machines that was requested at a
+// given time.
+func (sta *State) applyListing(hos *host, requestedAt time.Time) {
 	name, ok := sta.machines.byVM[hos.vm.ID]
 	mac := sta.machines.byName[name]
-	ordered := hos.goingDown && !hos.downAnswered.IsZero() && asked.After(hos.downAnswered)
+	ordered := hos.goingDown && !hos.downAnswered.IsZero() && requestedAt.After(hos.downAnswered)
 	switch {
 	case ordered && ok && mac.State == worker.MachineUp:
 		sta.logDecision("order_without_effect", "", map[string]any{"machine": name, "vm": hos.vm.ID})
@@ -328,37 +333,37 @@
 			delete(wav.down, name)
 		}
 	case ordered:
-		sta.removeHost(hos, "its machine went down as ordered")
-	case (!ok || mac.State != worker.MachineUp) && !hos.fenced && !asked.Before(hos.firstSeen):
-		// Registrations outlast the life of a VM by some seconds.
-		sta.removeHost(hos, "no machine has this life any more")
+		sta.removeHost(hos, "the machine went down as ordered")
+	case (!ok || mac.State != worker.MachineUp) && !hos.fenced && !requestedAt.Before(hos.firstSeen):
+		// Registrations outlast a VM by some seconds.
+		sta.removeHost(hos, "no listed machine runs this VM")
 	case hos.failedPolls > 0 && (!ok || mac.State == worker.MachineDown):
-		sta.removeHost(hos, "the list of machines says that it is down")
+		sta.removeHost(hos, "its machine is down or not listed")
 	}
 }
 
-// listMachines asks for the list of machines while something waits for it.
+// listMachines requests the list of machines if it is due.
 func (sta *State) listMachines() {
-	pause := listRest
+	pause := idleListInterval
 	if sta.formerLeasesMayHold() && sta.machines.listed.Before(sta.opt.Since) {
 		pause = 0
 	}
 	for _, wav := range sta.waves {
 		if !wav.completed {
-			pause = min(pause, listPause)
+			pause = min(pause, listInterval)
 		}
 	}
 	for _, hos := range sta.hostList {
 		_, listed := sta.machines.byVM[hos.vm.ID]
 		if hos.failedPolls >= silentAfterPolls || !listed {
-			pause = min(pause, listPause)
+			pause = min(pause, listInterval)
 		}
 	}
 	if len(sta.moves) > 0 {
-		pause = min(pause, listPause)
+		pause = min(pause, listInterval)
 	}
 	if sta.machines.refreshDue {
-		pause = min(pause, listSoon)
+		pause = min(pause, listDelayAfterOrder)
 	}
 	if sta.machines.inFlight || sta.now.Sub(sta.machines.requestedAt) < pause {
 		return
