--- a/internal/core/entry/doc.go
+++ b/internal/core/entry/doc.go
@@ -23,9 +23,9 @@
 // configuration lists. For each pool of VMs one live member is elected as the
 // leader and runs the pool's dispatcher, which grants the slots of the VMs.
 // Entries report their demand to it by lanes, where a lane is the work of one
-// team and urgency. A recall is the dispatcher's request to give slots back.
-// Work also needs a permit of its team; the permits of a team add up to its
-// limit and are transferred between voters. When voters are removed, the
-// settlements of the remaining voters state the net permits transferred with
-// the removed ones.
+// team and urgency, with retries apart. A recall is the dispatcher's request to
+// give slots back. Work also needs a permit of its team; the permits of a team
+// add up to its limit and are transferred between voters. When voters are
+// removed, the settlements of the remaining voters state the net permits
+// transferred with the removed ones.
 package entry
--- a/internal/core/entry/edits.go
+++ b/internal/core/entry/edits.go
@@ -16,7 +16,7 @@
 
 // Limits of an edit.
 const (
-	// editTimeout is the time from the start of an edit to its answer at most.
+	// editTimeout bounds the time from the start of an edit to its answer.
 	editTimeout = 8 * time.Second
 	// majorityTimeout is the time that an edit waits for contact with a
 	// majority. Contact with a voter that has just joined takes one heartbeat.
--- a/internal/core/entry/outcome_test.go
+++ b/internal/core/entry/outcome_test.go
@@ -101,7 +101,7 @@
 			out.tasks[name] = true
 			out.submit(nod, name, "big", "again")
 		case 2:
-			out.repeatAtOtherEntry(live)
+			out.repeatAtRandomEntry(live)
 		case 3:
 			out.sendRepeatable(nod, fmt.Sprint("run ", out.serial, repeatableMark))
 		default:
@@ -129,9 +129,9 @@
 	out.request(nod, run, evt)
 }
 
-// repeatAtOtherEntry sends a request with an idempotency key and repeats it at
+// repeatAtRandomEntry sends a request with an idempotency key and repeats it at
 // a random entry up to a second later, like a caller without an answer.
-func (out *outcomes) repeatAtOtherEntry(live []*node) {
+func (out *outcomes) repeatAtRandomEntry(live []*node) {
 	key := fmt.Sprint("key ", out.serial)
 	out.send(live[out.rnd.IntN(len(live))], fmt.Sprint("run ", out.serial, " first"), key)
 	again := live[out.rnd.IntN(len(live))]
