--- a/internal/core/entry/request_test.go
+++ b/internal/core/entry/request_test.go
@@ -18,12 +18,12 @@
 	}
 	drv.run(time.Second)
 	for i := range drv.nodes {
-		assert.Equal(t, drv.told[fmt.Sprint(i)].outcome, outcome.Answered)
+		assert.Equal(t, drv.reply[fmt.Sprint(i)].outcome, outcome.Answered)
 		assert.Equal(t, drv.runs[fmt.Sprint(i)], 1)
 	}
 }
 
-func TestRefusalsSayWhyAndNothingRuns(t *testing.T) {
+func TestRefusedRequestDoesNotRun(t *testing.T) {
 	drv := deploy(t, 1, small)
 	cases := []struct {
 		name string
@@ -38,15 +38,15 @@
 	for _, tc := range cases {
 		drv.request(drv.nodes[0], tc.name, tc.evt)
 		drv.run(100 * time.Millisecond)
-		assert.Equal(t, drv.told[tc.name].code, tc.code, tc.name)
-		assert.Equal(t, drv.told[tc.name].outcome, outcome.NotRun, tc.name)
+		assert.Equal(t, drv.reply[tc.name].code, tc.code, tc.name)
+		assert.Equal(t, drv.reply[tc.name].outcome, outcome.NotRun, tc.name)
 		assert.Equal(t, drv.runs[tc.name], 0, tc.name)
 	}
 }
 
-func TestWorkOverTheLimitWaitsAndIsRefusedAtItsDeadline(t *testing.T) {
+func TestRequestOverLimitIsRefusedAtDeadline(t *testing.T) {
 	drv := deploy(t, 1, small)
-	drv.span = func(string) time.Duration { return time.Minute }
+	drv.runDuration = func(string) time.Duration { return time.Minute }
 	for i := range 10 {
 		drv.request(drv.nodes[i%3], fmt.Sprint(i), arrival("tiny", 0, table.UrgencyNormal))
 	}
@@ -54,7 +54,7 @@
 	assert.Equal(t, drv.peak["tiny"], 4)
 	refused := 0
 	for i := range 10 {
-		if drv.told[fmt.Sprint(i)].code == outcome.CodeOverLimit {
+		if drv.reply[fmt.Sprint(i)].code == outcome.CodeOverLimit {
 			refused++
 		}
 	}
@@ -71,12 +71,12 @@
 	drv.run(3 * time.Second)
 	assert.Assert(t, leaving.exited)
 	for i := range 8 {
-		assert.Equal(t, drv.told[fmt.Sprint(i)].outcome, outcome.Answered)
+		assert.Equal(t, drv.reply[fmt.Sprint(i)].outcome, outcome.Answered)
 	}
 	left := drv.nodes[1].state
 	assert.Equal(t, len(left.config.Voters), 2)
 	for _, tea := range small.teams {
-		usable := left.Rights(tea.Name) + drv.nodes[2].state.Rights(tea.Name)
+		usable := left.HeldPermits(tea.Name) + drv.nodes[2].state.HeldPermits(tea.Name)
 		assert.Equal(t, usable, tea.Limit, "permits of %s", tea.Name)
 	}
 }
@@ -84,11 +84,11 @@
 func TestPermitsOfLostEntryAreReclaimed(t *testing.T) {
 	drv := deploy(t, 1, small)
 	drv.kill(drv.nodes[0])
-	drv.run(leaseTTL + StopsWithin(drv.nodes[1].state.config) + 6*time.Second)
+	drv.run(leaseTTL + StopTimeout(drv.nodes[1].state.config) + 6*time.Second)
 	left := drv.nodes[1].state
 	assert.Equal(t, len(left.config.Voters), 2)
 	for _, tea := range small.teams {
-		usable := left.Rights(tea.Name) + drv.nodes[2].state.Rights(tea.Name)
+		usable := left.HeldPermits(tea.Name) + drv.nodes[2].state.HeldPermits(tea.Name)
 		assert.Equal(t, usable, tea.Limit, "permits of %s", tea.Name)
 	}
 }
