--- a/internal/peerlink/incoming.go
+++ b/internal/peerlink/incoming.go
@@ -71,7 +71,7 @@
 			return err
 		}
 		now := time.Now()
-		lks.clock.Heard(now, stm)
+		lks.clock.Observe(now, stm)
 		if len(payload) == 0 {
 			if err := conn.SetWriteDeadline(now.Add(silentAfter)); err != nil {
 				return err
--- a/internal/peerlink/links.go
+++ b/internal/peerlink/links.go
@@ -132,6 +132,6 @@
 	if err != nil {
 		return Hello{}, err
 	}
-	lks.clock.Heard(time.Now(), stm)
+	lks.clock.Observe(time.Now(), stm)
 	return peer, conn.SetDeadline(time.Time{})
 }
--- a/internal/peerlink/outgoing.go
+++ b/internal/peerlink/outgoing.go
@@ -102,6 +102,6 @@
 		if err != nil {
 			return err
 		}
-		lks.clock.Heard(time.Now(), stm)
+		lks.clock.Observe(time.Now(), stm)
 	}
 }
--- a/internal/timeline/clock.go
+++ b/internal/timeline/clock.go
@@ -35,8 +35,8 @@
 	return clk.last
 }
 
-// Heard moves the clock past a stamp that came with a message.
-func (clk *Clock) Heard(now time.Time, stm Stamp) {
+// Observe moves the clock past a stamp that came with a message.
+func (clk *Clock) Observe(now time.Time, stm Stamp) {
 	clk.mu.Lock()
 	defer clk.mu.Unlock()
 	if stm <= wall(now.Add(maxAhead)) {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -16,7 +16,7 @@
 	var ahead, behind timeline.Clock
 	cause := timeline.Event{Stamp: ahead.Now(noon), Entry: "z", Name: "sent"}
 	early := timeline.Event{Stamp: behind.Now(noon.Add(-30 * time.Second)), Entry: "a", Name: "before"}
-	behind.Heard(noon.Add(-30*time.Second), cause.Stamp)
+	behind.Observe(noon.Add(-30*time.Second), cause.Stamp)
 	effect := timeline.Event{Stamp: behind.Now(noon.Add(-29 * time.Second)), Entry: "a", Name: "heard"}
 	merged := timeline.Merge([]timeline.Event{cause}, []timeline.Event{early, effect})
 	assert.DeepEqual(t, merged, []timeline.Event{early, cause, effect})
@@ -24,7 +24,7 @@
 
 func TestWildClockIsNotFollowed(t *testing.T) {
 	var clk timeline.Clock
-	clk.Heard(noon, timeline.Stamp(noon.Add(time.Hour).UnixMilli())<<16)
+	clk.Observe(noon, timeline.Stamp(noon.Add(time.Hour).UnixMilli())<<16)
 	assert.Assert(t, clk.Now(noon).Time().Before(noon.Add(time.Second)))
 }
 
