--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -111,7 +111,7 @@
 			out = ledger.Refused
 		case 0, http.StatusGatewayTimeout, http.StatusBadGateway:
 		default:
-			cal.run.ledger.Fail(time.Now(), fmt.Sprintf("job %s is answered with status %d", job.ID, status))
+			cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("job %s is answered with status %d", job.ID, status))
 		}
 		cal.run.ledger.Answer(time.Now(), sent, job.ID, key, out)
 		if out == ledger.Accepted {
@@ -145,7 +145,7 @@
 				State string `json:"state"`
 			}
 			if err := json.Unmarshal([]byte(text), &ans); err != nil {
-				cal.run.ledger.Fail(time.Now(), fmt.Sprintf("state of job %s: %q: %v", job.ID, text, err))
+				cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("state of job %s: %q: %v", job.ID, text, err))
 			}
 			state = ans.State
 		default:
@@ -200,7 +200,7 @@
 	}
 	// A process that shuts down answers what it has read.
 	if took := time.Since(sent); took > lossSlack && took < callTimeout-lossSlack && !nod.harmedAt(sent) && !nod.harmedAt(time.Now()) {
-		cal.run.ledger.Fail(time.Now(), fmt.Sprintf("%s of job %s is cut by %s after %v: %v", method, job.ID, nod.name, took, err))
+		cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("%s of job %s is cut by %s after %v: %v", method, job.ID, nod.name, took, err))
 	}
 	return 0, ""
 }
--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -130,8 +130,8 @@
 	led.broken = append(led.broken, now.Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// Fail records something broken that was found elsewhere.
-func (led *Ledger) Fail(now time.Time, what string) {
+// AddViolation records something broken that was found elsewhere.
+func (led *Ledger) AddViolation(now time.Time, what string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	led.fail(now, "%s", what)
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -87,7 +87,7 @@
 		}
 		run.waits.Go(func() {
 			if wrong := nod.terminate(); wrong != "" {
-				run.ledger.Fail(time.Now(), wrong)
+				run.ledger.AddViolation(time.Now(), wrong)
 			}
 			run.restart(nod)
 		})
@@ -97,7 +97,7 @@
 // restart starts a process that has ended.
 func (run *Run) restart(nod *node) {
 	if err := nod.start(); err != nil {
-		run.ledger.Fail(time.Now(), err.Error())
+		run.ledger.AddViolation(time.Now(), err.Error())
 	}
 	nod.setPaused(false)
 }
