--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// Broken returns what broke a promise.
-func (led *Ledger) Broken() []string {
+// Violations returns what broke a promise.
+func (led *Ledger) Violations() []string {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	return slices.Clone(led.broken)
--- a/internal/soak/ledger/ledger_test.go
+++ b/internal/soak/ledger/ledger_test.go
@@ -126,13 +126,13 @@
 		t.Run(tst.name, func(t *testing.T) {
 			led := newTestLedger()
 			tst.history(led)
-			broken := strings.Join(led.Broken(), "\n")
+			broken := strings.Join(led.Violations(), "\n")
 			if tst.want == "" {
 				assert.Equal(t, broken, "")
 				return
 			}
-			assert.Assert(t, len(led.Broken()) >= 1, "nothing was found")
-			for _, what := range led.Broken() {
+			assert.Assert(t, len(led.Violations()) >= 1, "nothing was found")
+			for _, what := range led.Violations() {
 				assert.Assert(t, strings.Contains(what, tst.want) || tst.name == "before its step" && strings.Contains(what, "starts before"), "found %q", what)
 			}
 		})
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -104,7 +104,7 @@
 		run.ledger.Finish(time.Now())
 	}
 	rep.Accepted, rep.Started = run.ledger.Counts()
-	rep.Broken = run.ledger.Broken()
+	rep.Broken = run.ledger.Violations()
 	return rep, nil
 }
 
