--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -151,7 +151,7 @@
 		default:
 			continue
 		}
-		cal.run.ledger.Told(time.Now(), job.ID, state)
+		cal.run.ledger.StateReported(time.Now(), job.ID, state)
 		if state == "completed" || state == "failed" || state == "cancelled" || state == "gone" {
 			return
 		}
@@ -170,7 +170,7 @@
 			// It had ended before.
 			return false
 		case status == http.StatusGone:
-			cal.run.ledger.Told(time.Now(), job.ID, "gone")
+			cal.run.ledger.StateReported(time.Now(), job.ID, "gone")
 			return true
 		}
 		clock.Pause(over, retryTime)
--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -203,9 +203,9 @@
 	led.jobs[id].cancelled = now
 }
 
-// Told records the state that a caller was told of an accepted job; "gone" for
+// StateReported records the state that a caller was told of an accepted job; "gone" for
 // an answer that no such job exists.
-func (led *Ledger) Told(now time.Time, id, state string) {
+func (led *Ledger) StateReported(now time.Time, id, state string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	rec := led.jobs[id]
--- a/internal/soak/ledger/ledger_test.go
+++ b/internal/soak/ledger/ledger_test.go
@@ -39,7 +39,7 @@
 		play(led, first, 2, "done")
 		play(led, second, 1, "done")
 		play(led, "j.0.1.0", 1, "done")
-		led.Told(noon, "j", "completed")
+		led.StateReported(noon, "j", "completed")
 		led.Finish(noon)
 	}, ""},
 	{"twice at once", func(led *Ledger) {
@@ -104,18 +104,18 @@
 		led.Started(noon.Add(6*time.Second), "vm", "az0", first, 1, "p")
 	}, "starts in zone az0, which is out for 6s"},
 	{"lost", func(led *Ledger) { led.Finish(noon) }, `was accepted and is "" at the end`},
-	{"forgotten", func(led *Ledger) { led.Told(noon, "j", "gone") }, "said not to exist"},
+	{"forgotten", func(led *Ledger) { led.StateReported(noon, "j", "gone") }, "said not to exist"},
 	{"completed too soon", func(led *Ledger) {
 		play(led, first, 1, "done")
 		play(led, second, 1, "done")
-		led.Told(noon, "j", "completed")
+		led.StateReported(noon, "j", "completed")
 	}, "told as completed and j.0.1.0 is not done"},
-	{"failed without cause", func(led *Ledger) { led.Told(noon, "j", "failed") }, "told as failed after 0 failed runs"},
-	{"cancelled by nobody", func(led *Ledger) { led.Told(noon, "j", "cancelled") }, "which nobody asked for"},
+	{"failed without cause", func(led *Ledger) { led.StateReported(noon, "j", "failed") }, "told as failed after 0 failed runs"},
+	{"cancelled by nobody", func(led *Ledger) { led.StateReported(noon, "j", "cancelled") }, "which nobody asked for"},
 	{"turned back", func(led *Ledger) {
 		led.Cancelled(noon, "j")
-		led.Told(noon, "j", "cancelled")
-		led.Told(noon, "j", "running")
+		led.StateReported(noon, "j", "cancelled")
+		led.StateReported(noon, "j", "running")
 	}, "told as running after cancelled"},
 }
 
