--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -182,8 +182,8 @@
 	delete(led.zones, zone)
 }
 
-// Harmed records that the way to a machine is or was cut until now.
-func (led *Ledger) Harmed(now time.Time, machine string) {
+// LinkCut records that the way to a machine is or was cut until now.
+func (led *Ledger) LinkCut(now time.Time, machine string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	led.harmed[machine] = now
--- a/internal/soak/ledger/ledger_test.go
+++ b/internal/soak/ledger/ledger_test.go
@@ -86,11 +86,11 @@
 	}, "runs at the end, though its job is cancelled"},
 	{"cancelled and run after an order was held up", func(led *Ledger) {
 		led.Cancelled(noon, "j")
-		led.Harmed(noon.Add(4*time.Second), "vm")
+		led.LinkCut(noon.Add(4*time.Second), "vm")
 		led.Started(noon.Add(4*time.Second), "vm.2", "az0", first, 1, "p")
 	}, ""},
 	{"cancelled and run after the way was sound", func(led *Ledger) {
-		led.Harmed(noon.Add(-time.Second), "vm")
+		led.LinkCut(noon.Add(-time.Second), "vm")
 		led.Cancelled(noon, "j")
 		led.Started(noon.Add(4*time.Second), "vm.2", "az0", first, 1, "p")
 	}, "after its job was cancelled"},
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -106,9 +106,9 @@
 func (run *Run) cutVM(fau Fault, later func(func())) {
 	way, machine := run.ways[fau.Target], fmt.Sprintf("vm-%d", fau.Target)
 	way.SetCut(true, true)
-	run.ledger.Harmed(time.Now(), machine)
+	run.ledger.LinkCut(time.Now(), machine)
 	later(func() {
-		run.ledger.Harmed(time.Now().Add(heldUpTime), machine)
+		run.ledger.LinkCut(time.Now().Add(heldUpTime), machine)
 		way.SetCut(false, false)
 	})
 }
