--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -23,15 +23,15 @@
 	Cancel time.Duration
 	// Overrun is by what share an account may pass its cap, besides one task.
 	Overrun float64
-	// RoomCPU is the room of a VM, in thousandths of a core.
-	RoomCPU int64
+	// VMMilliCPU is the room of a VM, in thousandths of a core.
+	VMMilliCPU int64
 	// Attempts is how often a task may fail.
 	Attempts int
 }
 
 // PlatformBounds are those of the platform's pages for the smaller sites.
 var PlatformBounds = Bounds{
-	Revoke: 5 * time.Second, Evacuate: 5 * time.Second, Cancel: 3 * time.Second, Overrun: 0.1, RoomCPU: 16_000, Attempts: 4,
+	Revoke: 5 * time.Second, Evacuate: 5 * time.Second, Cancel: 3 * time.Second, Overrun: 0.1, VMMilliCPU: 16_000, Attempts: 4,
 }
 
 // Step is a step of a job that was sent.
@@ -307,8 +307,8 @@
 	tas.running++
 	led.room[vm] += ste.CPU
 	led.used[rec.Account] += ste.CPU
-	if led.room[vm] > led.bounds.RoomCPU {
-		led.fail(now, "%s brings %s to %d of %d", task, vm, led.room[vm], led.bounds.RoomCPU)
+	if led.room[vm] > led.bounds.VMMilliCPU {
+		led.fail(now, "%s brings %s to %d of %d", task, vm, led.room[vm], led.bounds.VMMilliCPU)
 	}
 	if limit := led.caps[rec.Account]; limit > 0 && float64(led.used[rec.Account]) > float64(limit)*(1+led.bounds.Overrun)+float64(ste.CPU) {
 		led.fail(now, "%s brings account %s to %d of %d", task, rec.Account, led.used[rec.Account], limit)
