--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -37,7 +37,7 @@
 		if err != nil {
 			return err
 		}
-		broken = broken || len(rep.Broken) > 0
+		broken = broken || len(rep.Violations) > 0
 		if err := cmd.printSoak(opt, rep); err != nil {
 			return err
 		}
@@ -53,8 +53,8 @@
 }
 
 func (cmd *command) printSoak(opt soak.Options, rep soak.Report) (err error) {
-	_, err = fmt.Fprintf(cmd.out, "seed %d: %d faults, %d jobs accepted, %d runs of tasks, %d promises broken\n", opt.Seed, len(rep.Faults), rep.Accepted, rep.Started, len(rep.Broken))
-	if err != nil || len(rep.Broken) == 0 {
+	_, err = fmt.Fprintf(cmd.out, "seed %d: %d faults, %d jobs accepted, %d runs of tasks, %d promises broken\n", opt.Seed, len(rep.Faults), rep.Accepted, rep.Started, len(rep.Violations))
+	if err != nil || len(rep.Violations) == 0 {
 		return err
 	}
 	for _, fau := range rep.Faults {
@@ -62,7 +62,7 @@
 			return err
 		}
 	}
-	for _, what := range rep.Broken {
+	for _, what := range rep.Violations {
 		if _, err := fmt.Fprintln(cmd.out, "  BROKEN", what); err != nil {
 			return err
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -33,8 +33,8 @@
 	Faults []Fault
 	// Accepted counts jobs, Started runs of tasks.
 	Accepted, Started int
-	// Broken lists what broke a promise.
-	Broken []string
+	// Violations lists what broke a promise.
+	Violations []string
 }
 
 // Times of a run.
@@ -104,7 +104,7 @@
 		run.ledger.Finish(time.Now())
 	}
 	rep.Accepted, rep.Started = run.ledger.Counts()
-	rep.Broken = run.ledger.Violations()
+	rep.Violations = run.ledger.Violations()
 	return rep, nil
 }
 
