--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -33,7 +33,7 @@
 	broken := false
 	for range runs {
 		opt.Dir = filepath.Join(dir, fmt.Sprintf("seed-%d", opt.Seed))
-		rep, err := soak.Play(ctx, opt)
+		rep, err := soak.Execute(ctx, opt)
 		if err != nil {
 			return err
 		}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -76,8 +76,8 @@
 	waits sync.WaitGroup
 }
 
-// Play plays a run. The error says that it could not be played.
-func Play(ctx context.Context, opt Options) (rep Report, err error) {
+// Execute plays a run. The error says that it could not be played.
+func Execute(ctx context.Context, opt Options) (rep Report, err error) {
 	run := &Run{opt: opt, keys: map[string]string{}, ledger: ledger.New(ledger.PlatformBounds, map[string]int64{accounts[0]: smallCap})}
 	defer run.close()
 	if err := run.start(); err != nil {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -37,7 +37,7 @@
 		1102,
 	} {
 		dir := t.TempDir()
-		rep, err := Play(context.Background(), Options{Seed: seed, For: 12 * time.Second, Processes: 3, Machines: 4, Binary: binary, Dir: dir})
+		rep, err := Execute(context.Background(), Options{Seed: seed, For: 12 * time.Second, Processes: 3, Machines: 4, Binary: binary, Dir: dir})
 		assert.NilError(t, err)
 		assert.Equal(t, len(rep.Violations), 0, "seed %d: %s", seed, strings.Join(rep.Violations, "\n"))
 		assert.Assert(t, rep.Accepted > 0 && rep.Started > 0, "seed %d: %d jobs, %d runs", seed, rep.Accepted, rep.Started)
