--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -51,7 +51,7 @@
 			run.sit.SetZoneOut(zone, false)
 			run.ledger.ZoneIn(zone)
 		})
-	case WaveAsked:
+	case WaveRequested:
 		run.askWave()
 	default:
 		panic(fmt.Sprintf("soak: unknown fault %q", fau.Kind))
