--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -37,7 +37,7 @@
 	case StoreDown:
 		run.sit.Store.SetDown(true)
 		later(func() { run.sit.Store.SetDown(false) })
-	case StoreLost:
+	case StoreReplyLost:
 		run.sit.Store.LoseAnswers(lostAnswers)
 	case StoreCompact:
 		run.sit.Store.Compact()
