--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -39,7 +39,7 @@
 			return err
 		}
 	}
-	_, err = fmt.Fprintln(cmd.out, explain.Verdict(lines))
+	_, err = fmt.Fprintln(cmd.out, explain.Summary(lines))
 	return err
 }
 
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -99,8 +99,8 @@
 	return out.String()
 }
 
-// Verdict says in a sentence what the lines show of a job.
-func Verdict(lines []Line) string {
+// Summary says in a sentence what the lines show of a job.
+func Summary(lines []Line) string {
 	verdict := "No line tells how it ended."
 	for _, lin := range lines {
 		switch {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -31,7 +31,7 @@
 	for _, lin := range lines {
 		out.WriteString(lin.String() + "\n")
 	}
-	out.WriteString(Verdict(lines) + "\n")
+	out.WriteString(Summary(lines) + "\n")
 	golden.Assert(t, out.String(), "follow.golden")
 	assert.Equal(t, unread, 2)
 }
