--- a/cmd/balsamgauge/main_test.go
+++ b/cmd/balsamgauge/main_test.go
@@ -56,8 +56,8 @@
 	return cmd
 }
 
-// ask runs a command and returns what it printed and its exit code.
-func (prg program) ask(args ...string) (out string, exit int) {
+// run runs a command and returns what it printed and its exit code.
+func (prg program) run(args ...string) (out string, exit int) {
 	prg.t.Helper()
 	cmd := exec.Command(prg.path, args...)
 	cmd.Env = append(os.Environ(), "BALSAMGAUGE_OPERATOR_KEY="+credential)
@@ -73,7 +73,7 @@
 	prg.t.Helper()
 	var out string
 	for deadline := time.Now().Add(20 * time.Second); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
-		out, _ = prg.ask(args...)
+		out, _ = prg.run(args...)
 		if strings.Contains(out, text) {
 			return out
 		}
@@ -170,9 +170,9 @@
 	for _, admin := range admins {
 		prg.eventually("fresh true, voting true", "status", "--admin", admin)
 	}
-	out, exit := prg.ask("apply", "--admin", admins[0], "--routes", routesPath, "--pools", poolsPath)
+	out, exit := prg.run("apply", "--admin", admins[0], "--routes", routesPath, "--pools", poolsPath)
 	assert.Equal(t, exit, 0, out)
-	out, exit = prg.ask("--format", "json", "grant", "--admin", admins[1], "app", "dispatch")
+	out, exit = prg.run("--format", "json", "grant", "--admin", admins[1], "app", "dispatch")
 	assert.Equal(t, exit, 0, out)
 	var granted struct{ Key string }
 	assert.NilError(t, json.Unmarshal([]byte(out), &granted))
@@ -195,13 +195,13 @@
 	prg.eventually("log_adopted", "timeline", "--admin", admins[1], "--admin", admins[2])
 	awaitTask(t, callers[1], granted.Key, accepted.ID)
 
-	out, exit = prg.ask("withdraw", "--admin", admins[1], "app")
+	out, exit = prg.run("withdraw", "--admin", admins[1], "app")
 	assert.Equal(t, exit, 0, out)
 	status, _ = call(t, http.MethodPost, callers[2]+"/plan/x", granted.Key, "")
 	assert.Equal(t, status, http.StatusUnauthorized)
-	out, exit = prg.ask("withdraw", "--admin", admins[1], "app")
+	out, exit = prg.run("withdraw", "--admin", admins[1], "app")
 	assert.Equal(t, exit, 1, out)
-	_, exit = prg.ask("status", "--admin", "127.0.0.1:1")
+	_, exit = prg.run("status", "--admin", "127.0.0.1:1")
 	assert.Equal(t, exit, 3)
 }
 
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -50,8 +50,8 @@
 // action does the work of a subcommand.
 type action func(ctx context.Context) error
 
-// errBroken means that the command did its work and found something broken.
-var errBroken = errors.New("an invariant broke")
+// errViolation means that the command did its work and found something broken.
+var errViolation = errors.New("an invariant broke")
 
 // Main runs the program and returns its exit code.
 func Main(args []string, out, errOut io.Writer) int {
@@ -86,7 +86,7 @@
 	if err == nil {
 		return ExitOK
 	}
-	if !errors.Is(err, errBroken) {
+	if !errors.Is(err, errViolation) {
 		_, _ = fmt.Fprintf(cmd.err, "%v\n", err)
 	}
 	var dgs source.Diagnostics
@@ -95,7 +95,7 @@
 	switch {
 	case errors.As(err, &dgs), errors.As(err, &usage):
 		return ExitUsage
-	case errors.As(err, &refused), errors.Is(err, errBroken):
+	case errors.As(err, &refused), errors.Is(err, errViolation):
 		return ExitFailed
 	case adminclient.IsUnreachable(err):
 		return ExitUnreachable
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -21,12 +21,12 @@
 func (cmd *command) explain(id string, paths []string) (err error) {
 	var lines []explain.Line
 	for _, path := range paths {
-		found, unread, err := collect(path, id)
+		found, unparsed, err := collect(path, id)
 		if err != nil {
 			return err
 		}
-		if unread > 0 {
-			_, _ = fmt.Fprintf(cmd.err, "%s: %d lines that name %s are not log lines\n", path, unread, id)
+		if unparsed > 0 {
+			_, _ = fmt.Fprintf(cmd.err, "%s: %d lines that name %s are not log lines\n", path, unparsed, id)
 		}
 		lines = append(lines, found...)
 	}
@@ -43,7 +43,7 @@
 	return err
 }
 
-func collect(path, id string) (lines []explain.Line, unread int, err error) {
+func collect(path, id string) (lines []explain.Line, unparsed int, err error) {
 	file, err := os.Open(path)
 	if err != nil {
 		return nil, 0, &usageError{err}
--- a/internal/cli/local.go
+++ b/internal/cli/local.go
@@ -136,7 +136,7 @@
 		err = rep.WriteText(cmd.out)
 	}
 	if err == nil && rep.Broken() {
-		return errBroken
+		return errViolation
 	}
 	return err
 }
--- a/internal/cli/remote.go
+++ b/internal/cli/remote.go
@@ -21,7 +21,7 @@
 
 // addRemote adds the commands that ask running entries.
 func (cmd *command) addRemote(app *kingpin.Application, actions map[string]action) {
-	var add adder = func(clause *kingpin.CmdClause, act action) {
+	var add registrar = func(clause *kingpin.CmdClause, act action) {
 		clause.Flag("admin", "Admin address of an entry; more than one may be given.").Default(defaultAdmin).StringsVar(&cmd.admins)
 		clause.Flag("operator-key", "The operators' credential.").Envar(credentialVariable).StringVar(&cmd.credential)
 		actions[clause.FullCommand()] = act
@@ -70,10 +70,10 @@
 	add(timelineClause, cmd.timeline)
 }
 
-// adder registers a command that asks entries.
-type adder func(clause *kingpin.CmdClause, act action)
+// registrar registers a command that asks entries.
+type registrar func(clause *kingpin.CmdClause, act action)
 
-func (cmd *command) addZone(add adder, zone *kingpin.CmdClause, name, help string, out bool) {
+func (cmd *command) addZone(add registrar, zone *kingpin.CmdClause, name, help string, out bool) {
 	clause := zone.Command(name, help)
 	az := clause.Arg("az", "Availability zone.").Required().String()
 	add(clause, func(ctx context.Context) error {
@@ -86,8 +86,8 @@
 	return adminclient.New(cmd.admins[0], cmd.credential)
 }
 
-func (cmd *command) change(ask func(*adminclient.Client) (runner.ChangeResponse, error)) error {
-	rsp, err := ask(cmd.entry())
+func (cmd *command) change(request func(*adminclient.Client) (runner.ChangeResponse, error)) error {
+	rsp, err := request(cmd.entry())
 	if err != nil {
 		return err
 	}
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -30,14 +30,14 @@
 	if opt.Binary, err = os.Executable(); err != nil {
 		return err
 	}
-	broken := false
+	violated := false
 	for range runs {
 		opt.Dir = filepath.Join(dir, fmt.Sprintf("seed-%d", opt.Seed))
 		rep, err := soak.Execute(ctx, opt)
 		if err != nil {
 			return err
 		}
-		broken = broken || len(rep.Violations) > 0
+		violated = violated || len(rep.Violations) > 0
 		if err := cmd.printSoak(opt, rep); err != nil {
 			return err
 		}
@@ -46,8 +46,8 @@
 		}
 		opt.Seed++
 	}
-	if broken {
-		return errBroken
+	if violated {
+		return errViolation
 	}
 	return nil
 }
@@ -62,8 +62,8 @@
 			return err
 		}
 	}
-	for _, what := range rep.Violations {
-		if _, err := fmt.Fprintln(cmd.out, "  BROKEN", what); err != nil {
+	for _, violation := range rep.Violations {
+		if _, err := fmt.Fprintln(cmd.out, "  BROKEN", violation); err != nil {
 			return err
 		}
 	}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -23,14 +23,14 @@
 	Fields  map[string]any
 }
 
-// maxLine bounds a line of a log in bytes.
-const maxLine = 1 << 20
+// maxLineBytes bounds a line of a log in bytes.
+const maxLineBytes = 1 << 20
 
 // Collect reads a log and returns the lines that name an ID: a job, a task of it,
 // or a VM. Lines that are not JSON are passed over and counted.
-func Collect(log io.Reader, id string) (lines []Line, unread int, err error) {
+func Collect(log io.Reader, id string) (lines []Line, unparsed int, err error) {
 	scn := bufio.NewScanner(log)
-	scn.Buffer(make([]byte, 0, 64<<10), maxLine)
+	scn.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	for scn.Scan() {
 		text := scn.Text()
 		if !strings.Contains(text, id) {
@@ -39,20 +39,20 @@
 		// Lines of some collectors begin with a time and the name of the VM.
 		at := strings.IndexByte(text, '{')
 		if at < 0 {
-			unread++
+			unparsed++
 			continue
 		}
 		lin, ok := parse([]byte(text[at:]))
 		if !ok {
-			unread++
+			unparsed++
 			continue
 		}
 		lines = append(lines, lin)
 	}
 	if err := scn.Err(); err != nil {
-		return lines, unread, fmt.Errorf("read log: %w", err)
+		return lines, unparsed, fmt.Errorf("read log: %w", err)
 	}
-	return lines, unread, nil
+	return lines, unparsed, nil
 }
 
 func parse(raw []byte) (lin Line, ok bool) {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -10,21 +10,21 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestFollow follows a job through the logs of three processes of a played day: it
+// TestCollectFollowsJob follows a job through the logs of three processes of a played day: it
 // was handed in at one, taken over by another, and ended late.
-func TestFollow(t *testing.T) {
+func TestCollectFollowsJob(t *testing.T) {
 	const id = "b41755ab3606abc5"
 	var lines []Line
-	unread := 0
+	unparsed := 0
 	paths, err := filepath.Glob("testdata/*.log")
 	assert.NilError(t, err)
 	for _, path := range paths {
 		file, err := os.Open(path)
 		assert.NilError(t, err)
-		found, bad, err := Collect(file, id)
+		found, skipped, err := Collect(file, id)
 		assert.NilError(t, err)
 		assert.NilError(t, file.Close())
-		lines, unread = append(lines, found...), unread+bad
+		lines, unparsed = append(lines, found...), unparsed+skipped
 	}
 	Sort(lines)
 	var out strings.Builder
@@ -33,5 +33,5 @@
 	}
 	out.WriteString(Summary(lines) + "\n")
 	golden.Assert(t, out.String(), "follow.golden")
-	assert.Equal(t, unread, 2)
+	assert.Equal(t, unparsed, 2)
 }
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -20,13 +20,13 @@
 const (
 	// callTimeout is how long a caller waits.
 	callTimeout = 3 * time.Second
-	// patience is for how long a caller tries to submit a job.
-	patience  = 12 * time.Second
-	retryTime = 150 * time.Millisecond
-	askEvery  = 400 * time.Millisecond
-	// lossSlack is how soon after it was sent a request may be cut by a process
+	// submitTimeout is for how long a caller tries to submit a job.
+	submitTimeout = 12 * time.Second
+	retryInterval = 150 * time.Millisecond
+	pollInterval  = 400 * time.Millisecond
+	// unreadWindow is how soon after it was sent a request may be cut by a process
 	// that shuts down, since the process had not read it.
-	lossSlack = 200 * time.Millisecond
+	unreadWindow = 200 * time.Millisecond
 )
 
 // accounts are the client accounts; the first has a cap.
@@ -48,19 +48,19 @@
 	}
 }
 
-// work submits a job after the other until the context is done, and asks for
+// submitJobs submits a job after the other until the context is done, and asks for
 // each until it has ended or all is over.
-func (cal *caller) work(ctx, over context.Context) {
-	var asking sync.WaitGroup
+func (cal *caller) submitJobs(ctx, settleCtx context.Context) {
+	var followers sync.WaitGroup
 	for ctx.Err() == nil {
 		job := cal.newJob()
 		seed := cal.rng.Uint64()
 		if cal.submit(ctx, job) {
-			asking.Go(func() { cal.follow(ctx, over, job, rand.New(rand.NewPCG(seed, 1))) })
+			followers.Go(func() { cal.pollJob(ctx, settleCtx, job, rand.New(rand.NewPCG(seed, 1))) })
 		}
 		clock.Pause(ctx, time.Duration(cal.rng.Int64N(int64(600*time.Millisecond))))
 	}
-	asking.Wait()
+	followers.Wait()
 }
 
 // newJob draws a job of up to three steps; some last.
@@ -84,21 +84,21 @@
 	return job
 }
 
-// taskTime is what callers estimate for a task.
-const taskTime = 300 * time.Millisecond
+// taskEstimate is what callers estimate for a task.
+const taskEstimate = 300 * time.Millisecond
 
-func body(job ledger.Job) string {
+func jobBody(job ledger.Job) string {
 	steps := make([]site.Step, len(job.Steps))
 	for i, ste := range job.Steps {
-		steps[i] = site.Step{Count: ste.Count, CPU: ste.CPU, Estimate: taskTime, After: ste.After, Lasting: ste.Lasting}
+		steps[i] = site.Step{Count: ste.Count, CPU: ste.CPU, Estimate: taskEstimate, After: ste.After, Lasting: ste.Lasting}
 	}
 	return site.JobBody(job.Payload, steps)
 }
 
 // submit sends a job to one process after the other until it is accepted.
 func (cal *caller) submit(ctx context.Context, job ledger.Job) bool {
-	text := body(job)
-	for end := time.Now().Add(patience); time.Now().Before(end) && ctx.Err() == nil; {
+	text := jobBody(job)
+	for end := time.Now().Add(submitTimeout); time.Now().Before(end) && ctx.Err() == nil; {
 		key := cal.run.key(job.Account)
 		cal.run.ledger.Send(job)
 		sent := time.Now()
@@ -117,22 +117,22 @@
 		if out == ledger.Accepted {
 			return true
 		}
-		clock.Pause(ctx, retryTime)
+		clock.Pause(ctx, retryInterval)
 	}
 	return false
 }
 
-// follow asks for a job until it has ended. Some jobs are cancelled on the way;
+// pollJob asks for a job until it has ended. Some jobs are cancelled on the way;
 // those that last are cancelled at the end.
-func (cal *caller) follow(ctx, over context.Context, job ledger.Job, rng *rand.Rand) {
+func (cal *caller) pollJob(ctx, settleCtx context.Context, job ledger.Job, rng *rand.Rand) {
 	cancelAfter := -1
 	if rng.IntN(8) == 0 {
 		cancelAfter = rng.IntN(4)
 	}
-	for asked := 0; over.Err() == nil; asked++ {
-		clock.Pause(over, askEvery)
-		lasting := job.Steps[0].Lasting && ctx.Err() != nil
-		if (asked == cancelAfter || lasting) && cal.cancel(over, rng, job) {
+	for polls := 0; settleCtx.Err() == nil; polls++ {
+		clock.Pause(settleCtx, pollInterval)
+		endLasting := job.Steps[0].Lasting && ctx.Err() != nil
+		if (polls == cancelAfter || endLasting) && cal.cancel(settleCtx, rng, job) {
 			return
 		}
 		status, text := cal.call(rng, http.MethodGet, job, cal.run.key(job.Account), "")
@@ -159,8 +159,8 @@
 }
 
 // cancel cancels a job; it reports whether that was acknowledged.
-func (cal *caller) cancel(over context.Context, rng *rand.Rand, job ledger.Job) bool {
-	for over.Err() == nil {
+func (cal *caller) cancel(settleCtx context.Context, rng *rand.Rand, job ledger.Job) bool {
+	for settleCtx.Err() == nil {
 		status, text := cal.call(rng, http.MethodDelete, job, cal.run.key(job.Account), "")
 		switch {
 		case status == http.StatusOK && strings.Contains(text, `"cancelled"`):
@@ -173,7 +173,7 @@
 			cal.run.ledger.StateReported(time.Now(), job.ID, "gone")
 			return true
 		}
-		clock.Pause(over, retryTime)
+		clock.Pause(settleCtx, retryInterval)
 	}
 	return false
 }
@@ -199,7 +199,7 @@
 		err = readErr
 	}
 	// A process that shuts down answers what it has read.
-	if took := time.Since(sent); took > lossSlack && took < callTimeout-lossSlack && !nod.harmedAt(sent) && !nod.harmedAt(time.Now()) {
+	if took := time.Since(sent); took > unreadWindow && took < callTimeout-unreadWindow && !nod.disruptedAt(sent) && !nod.disruptedAt(time.Now()) {
 		cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("%s of job %s is cut by %s after %v: %v", method, job.ID, nod.name, took, err))
 	}
 	return 0, ""
--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -70,25 +70,25 @@
 	mu    sync.Mutex
 	jobs  map[string]*jobRecord
 	tasks map[string]*taskRecord
-	// caps and used are of accounts; room is what runs on each VM. All are in
+	// accountCaps and accountCPU are of accounts; vmCPU is what runs on each VM. All are in
 	// thousandths of a core.
-	caps, used, room map[string]int64
-	zones            map[string]time.Time
-	keys             map[string]time.Time
-	// harmed holds when the way to a machine was last cut; orders held up there
+	accountCaps, accountCPU, vmCPU map[string]int64
+	zonesOut                       map[string]time.Time
+	withdrawnKeys                  map[string]time.Time
+	// linkCutAt holds when the way to a machine was last cut; orders held up there
 	// arrive late.
-	harmed  map[string]time.Time
-	broken  []string
-	started int
+	linkCutAt  map[string]time.Time
+	violations []string
+	started    int
 }
 
 type jobRecord struct {
 	Job
-	// open counts submissions without an outcome yet.
-	open               int
-	accepted, possible bool
-	cancelled          time.Time
-	told               string
+	// openSubmissions counts submissions without an outcome yet.
+	openSubmissions         int
+	accepted, mayBeAccepted bool
+	cancelled               time.Time
+	reported                string
 }
 
 type taskRecord struct {
@@ -102,8 +102,8 @@
 // New returns an empty ledger; caps are those of the accounts.
 func New(bnd Bounds, caps map[string]int64) *Ledger {
 	return &Ledger{
-		bounds: bnd, jobs: map[string]*jobRecord{}, tasks: map[string]*taskRecord{}, caps: caps,
-		used: map[string]int64{}, room: map[string]int64{}, zones: map[string]time.Time{}, keys: map[string]time.Time{}, harmed: map[string]time.Time{},
+		bounds: bnd, jobs: map[string]*jobRecord{}, tasks: map[string]*taskRecord{}, accountCaps: caps,
+		accountCPU: map[string]int64{}, vmCPU: map[string]int64{}, zonesOut: map[string]time.Time{}, withdrawnKeys: map[string]time.Time{}, linkCutAt: map[string]time.Time{},
 	}
 }
 
@@ -111,7 +111,7 @@
 func (led *Ledger) Violations() []string {
 	led.mu.Lock()
 	defer led.mu.Unlock()
-	return slices.Clone(led.broken)
+	return slices.Clone(led.violations)
 }
 
 // Counts returns how many jobs were accepted and how many runs started.
@@ -126,15 +126,15 @@
 	return accepted, led.started
 }
 
-func (led *Ledger) fail(now time.Time, format string, args ...any) {
-	led.broken = append(led.broken, now.Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
+func (led *Ledger) addViolation(now time.Time, format string, args ...any) {
+	led.violations = append(led.violations, now.Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
 // AddViolation records something broken that was found elsewhere.
-func (led *Ledger) AddViolation(now time.Time, what string) {
+func (led *Ledger) AddViolation(now time.Time, text string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
-	led.fail(now, "%s", what)
+	led.addViolation(now, "%s", text)
 }
 
 // Send records that a job is being submitted.
@@ -144,7 +144,7 @@
 	if led.jobs[job.ID] == nil {
 		led.jobs[job.ID] = &jobRecord{Job: job}
 	}
-	led.jobs[job.ID].open++
+	led.jobs[job.ID].openSubmissions++
 }
 
 // Answer records the outcome of a submission that was sent with a key at a time.
@@ -152,11 +152,11 @@
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	rec := led.jobs[id]
-	rec.open--
-	rec.possible = rec.possible || out != Refused
+	rec.openSubmissions--
+	rec.mayBeAccepted = rec.mayBeAccepted || out != Refused
 	rec.accepted = rec.accepted || out == Accepted
-	if taken, ok := led.keys[key]; ok && out == Accepted && sent.Sub(taken) > led.bounds.Revoke {
-		led.fail(now, "job %s is accepted with a key that was withdrawn %v before", id, sent.Sub(taken))
+	if withdrawn, ok := led.withdrawnKeys[key]; ok && out == Accepted && sent.Sub(withdrawn) > led.bounds.Revoke {
+		led.addViolation(now, "job %s is accepted with a key that was withdrawn %v before", id, sent.Sub(withdrawn))
 	}
 }
 
@@ -164,7 +164,7 @@
 func (led *Ledger) Withdraw(now time.Time, key string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
-	led.keys[key] = now
+	led.withdrawnKeys[key] = now
 }
 
 // ZoneOut records that an availability zone was taken out, ZoneIn that it is
@@ -172,28 +172,28 @@
 func (led *Ledger) ZoneOut(now time.Time, zone string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
-	led.zones[zone] = now
+	led.zonesOut[zone] = now
 }
 
 // ZoneIn records that an availability zone is back.
 func (led *Ledger) ZoneIn(zone string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
-	delete(led.zones, zone)
+	delete(led.zonesOut, zone)
 }
 
 // LinkCut records that the way to a machine is or was cut until now.
 func (led *Ledger) LinkCut(now time.Time, machine string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
-	led.harmed[machine] = now
+	led.linkCutAt[machine] = now
 }
 
-// heldUp reports whether an order that was sent before a time may come to a VM
+// mayArriveLate reports whether an order that was sent before a time may come to a VM
 // only now. VMs are named by their machine and the number of their life.
-func (led *Ledger) heldUp(vm string, since time.Time) bool {
+func (led *Ledger) mayArriveLate(vm string, since time.Time) bool {
 	machine, _, _ := strings.Cut(vm, ".")
-	return !led.harmed[machine].Before(since)
+	return !led.linkCutAt[machine].Before(since)
 }
 
 // Cancelled records that the cancelling of a job was acknowledged.
@@ -212,31 +212,31 @@
 	final := map[string]bool{"completed": true, "failed": true, "cancelled": true}
 	switch {
 	case state == "gone":
-		led.fail(now, "job %s is accepted and said not to exist", id)
-	case final[rec.told] && state != rec.told:
-		led.fail(now, "job %s is told as %s after %s", id, state, rec.told)
+		led.addViolation(now, "job %s is accepted and said not to exist", id)
+	case final[rec.reported] && state != rec.reported:
+		led.addViolation(now, "job %s is told as %s after %s", id, state, rec.reported)
 	case state == "cancelled" && rec.cancelled.IsZero():
-		led.fail(now, "job %s is told as cancelled, which nobody asked for", id)
+		led.addViolation(now, "job %s is told as cancelled, which nobody asked for", id)
 	case state == "completed":
-		led.checkDone(now, rec, len(rec.Steps))
-	case state == "failed" && led.mostFailed(rec) < led.bounds.Attempts:
-		led.fail(now, "job %s is told as failed after %d failed runs of a task", id, led.mostFailed(rec))
+		led.checkTasksDone(now, rec, len(rec.Steps))
+	case state == "failed" && led.maxFailedRuns(rec) < led.bounds.Attempts:
+		led.addViolation(now, "job %s is told as failed after %d failed runs of a task", id, led.maxFailedRuns(rec))
 	}
-	rec.told = state
+	rec.reported = state
 }
 
-// checkDone checks that all tasks of the first steps are done.
-func (led *Ledger) checkDone(now time.Time, rec *jobRecord, steps int) {
+// checkTasksDone checks that all tasks of the first steps are done.
+func (led *Ledger) checkTasksDone(now time.Time, rec *jobRecord, steps int) {
 	for i, ste := range rec.Steps[:steps] {
 		for j := range ste.Count {
 			if name := taskName(rec.ID, i, j); !led.task(name).done {
-				led.fail(now, "job %s is told as completed and %s is not done", rec.ID, name)
+				led.addViolation(now, "job %s is told as completed and %s is not done", rec.ID, name)
 			}
 		}
 	}
 }
 
-func (led *Ledger) mostFailed(rec *jobRecord) (most int) {
+func (led *Ledger) maxFailedRuns(rec *jobRecord) (most int) {
 	for i, ste := range rec.Steps {
 		for j := range ste.Count {
 			most = max(most, led.task(taskName(rec.ID, i, j)).failed)
@@ -283,53 +283,53 @@
 	led.started++
 	rec, ste := led.stepOf(task)
 	if rec == nil || payload != rec.Payload {
-		led.fail(now, "%s run %d starts on %s, which nobody sent so", task, run, vm)
+		led.addViolation(now, "%s run %d starts on %s, which nobody sent so", task, run, vm)
 		return
 	}
 	tas := led.task(task)
 	if tas.running > 0 {
-		led.fail(now, "%s run %d starts on %s while it runs", task, run, vm)
+		led.addViolation(now, "%s run %d starts on %s while it runs", task, run, vm)
 	}
 	if tas.done && tas.acked && !ste.Lasting {
-		led.fail(now, "%s run %d starts on %s after its end was acknowledged", task, run, vm)
+		led.addViolation(now, "%s run %d starts on %s after its end was acknowledged", task, run, vm)
 	}
 	if tas.failedAcked >= led.bounds.Attempts && !ste.Lasting {
-		led.fail(now, "%s run %d starts on %s after %d failed runs", task, run, vm, tas.failedAcked)
+		led.addViolation(now, "%s run %d starts on %s after %d failed runs", task, run, vm, tas.failedAcked)
 	}
 	for _, dep := range ste.After {
 		for j := range rec.Steps[dep].Count {
-			if before := taskName(rec.ID, dep, j); !led.task(before).done {
-				led.fail(now, "%s run %d starts before %s is done", task, run, before)
+			if predecessor := taskName(rec.ID, dep, j); !led.task(predecessor).done {
+				led.addViolation(now, "%s run %d starts before %s is done", task, run, predecessor)
 			}
 		}
 	}
-	led.checkAllowed(now, rec, vm, zone, task)
+	led.checkStartAllowed(now, rec, vm, zone, task)
 	tas.running++
-	led.room[vm] += ste.CPU
-	led.used[rec.Account] += ste.CPU
-	if led.room[vm] > led.bounds.VMMilliCPU {
-		led.fail(now, "%s brings %s to %d of %d", task, vm, led.room[vm], led.bounds.VMMilliCPU)
+	led.vmCPU[vm] += ste.CPU
+	led.accountCPU[rec.Account] += ste.CPU
+	if led.vmCPU[vm] > led.bounds.VMMilliCPU {
+		led.addViolation(now, "%s brings %s to %d of %d", task, vm, led.vmCPU[vm], led.bounds.VMMilliCPU)
 	}
-	if limit := led.caps[rec.Account]; limit > 0 && float64(led.used[rec.Account]) > float64(limit)*(1+led.bounds.Overrun)+float64(ste.CPU) {
-		led.fail(now, "%s brings account %s to %d of %d", task, rec.Account, led.used[rec.Account], limit)
+	if limit := led.accountCaps[rec.Account]; limit > 0 && float64(led.accountCPU[rec.Account]) > float64(limit)*(1+led.bounds.Overrun)+float64(ste.CPU) {
+		led.addViolation(now, "%s brings account %s to %d of %d", task, rec.Account, led.accountCPU[rec.Account], limit)
 	}
 }
 
-// checkAllowed checks a start against what callers and operators were told.
-func (led *Ledger) checkAllowed(now time.Time, rec *jobRecord, vm, zone, task string) {
-	if !rec.cancelled.IsZero() && now.Sub(rec.cancelled) > led.bounds.Cancel && !led.heldUp(vm, rec.cancelled) {
-		led.fail(now, "%s starts %v after its job was cancelled", task, now.Sub(rec.cancelled))
+// checkStartAllowed checks a start against what callers and operators were told.
+func (led *Ledger) checkStartAllowed(now time.Time, rec *jobRecord, vm, zone, task string) {
+	if !rec.cancelled.IsZero() && now.Sub(rec.cancelled) > led.bounds.Cancel && !led.mayArriveLate(vm, rec.cancelled) {
+		led.addViolation(now, "%s starts %v after its job was cancelled", task, now.Sub(rec.cancelled))
 	}
-	if rec.open == 0 && !rec.possible {
-		led.fail(now, "%s starts, though its job was always refused", task)
+	if rec.openSubmissions == 0 && !rec.mayBeAccepted {
+		led.addViolation(now, "%s starts, though its job was always refused", task)
 	}
-	if out, ok := led.zones[zone]; ok && now.Sub(out) > led.bounds.Evacuate && !led.heldUp(vm, out) {
-		led.fail(now, "%s starts in zone %s, which is out for %v", task, zone, now.Sub(out))
+	if out, ok := led.zonesOut[zone]; ok && now.Sub(out) > led.bounds.Evacuate && !led.mayArriveLate(vm, out) {
+		led.addViolation(now, "%s starts in zone %s, which is out for %v", task, zone, now.Sub(out))
 	}
 }
 
 // Ended records how a run ended: as its VM lists it, or "gone" with its VM.
-func (led *Ledger) Ended(vm, task, how string) {
+func (led *Ledger) Ended(vm, task, result string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	rec, ste := led.stepOf(task)
@@ -338,22 +338,22 @@
 	}
 	tas := led.task(task)
 	tas.running--
-	led.room[vm] -= ste.CPU
-	led.used[rec.Account] -= ste.CPU
-	tas.done = tas.done || how == "done"
-	if how == "failed" {
+	led.vmCPU[vm] -= ste.CPU
+	led.accountCPU[rec.Account] -= ste.CPU
+	tas.done = tas.done || result == "done"
+	if result == "failed" {
 		tas.failed++
 	}
 }
 
 // Acknowledged records that an end was acknowledged to its VM.
-func (led *Ledger) Acknowledged(task, how string) {
+func (led *Ledger) Acknowledged(task, result string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	if rec, _ := led.stepOf(task); rec == nil {
 		return
 	}
-	switch how {
+	switch result {
 	case "done":
 		led.task(task).acked = true
 	case "failed":
@@ -369,8 +369,8 @@
 	for _, id := range slices.Sorted(maps.Keys(led.jobs)) {
 		rec := led.jobs[id]
 		lasting := slices.ContainsFunc(rec.Steps, func(ste Step) bool { return ste.Lasting })
-		if rec.accepted && rec.cancelled.IsZero() && !lasting && rec.told != "completed" && rec.told != "failed" {
-			led.fail(now, "job %s was accepted and is %q at the end", id, rec.told)
+		if rec.accepted && rec.cancelled.IsZero() && !lasting && rec.reported != "completed" && rec.reported != "failed" {
+			led.addViolation(now, "job %s was accepted and is %q at the end", id, rec.reported)
 		}
 		if rec.cancelled.IsZero() {
 			continue
@@ -378,7 +378,7 @@
 		for i, ste := range rec.Steps {
 			for j := range ste.Count {
 				if name := taskName(id, i, j); led.task(name).running > 0 {
-					led.fail(now, "%s runs at the end, though its job is cancelled", name)
+					led.addViolation(now, "%s runs at the end, though its job is cancelled", name)
 				}
 			}
 		}
--- a/internal/soak/ledger/ledger_test.go
+++ b/internal/soak/ledger/ledger_test.go
@@ -119,9 +119,9 @@
 	}, "told as running after cancelled"},
 }
 
-// TestLedgerComplains feeds the ledger broken histories. Each is found, and only
+// TestLedgerDetectsViolations feeds the ledger broken histories. Each is found, and only
 // that.
-func TestLedgerComplains(t *testing.T) {
+func TestLedgerDetectsViolations(t *testing.T) {
 	for _, tst := range histories {
 		t.Run(tst.name, func(t *testing.T) {
 			led := newTestLedger()
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -16,8 +16,8 @@
 	"github.com/balsamgauge/balsamgauge/platform"
 )
 
-// graceTime is the platform's time from SIGTERM to SIGKILL.
-const graceTime = 6 * time.Second
+// gracePeriod is the platform's time from SIGTERM to SIGKILL.
+const gracePeriod = 6 * time.Second
 
 // node is one process of the program, with the way to its store.
 type node struct {
@@ -32,11 +32,11 @@
 	cmd *exec.Cmd
 	// done is closed when the process has ended.
 	done chan struct{}
-	// paused says that it is stopped by a signal; harmed is until when its
+	// down says that it is stopped by a signal; harmed is until when its
 	// callers may see connections end.
-	paused bool
-	harmed time.Time
-	starts int
+	down           bool
+	disruptedUntil time.Time
+	starts         int
 }
 
 // newNode writes the settings of a process.
@@ -59,7 +59,7 @@
 	nod.callers, nod.ready = fmt.Sprintf("127.0.0.1:%d", ports[0]), fmt.Sprintf("127.0.0.1:%d", ports[1])
 	text := site.Process{
 		Name: name, Callers: nod.callers, Ready: nod.ready, Port: ports[2], Store: nod.store.Address(), Machines: machines,
-		Grace: graceTime, Revoke: ledger.PlatformBounds.Revoke,
+		Grace: gracePeriod, Revoke: ledger.PlatformBounds.Revoke,
 	}.Settings()
 	return nod, os.WriteFile(nod.settings(), []byte(text), 0o600)
 }
@@ -71,7 +71,7 @@
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
 	nod.starts++
-	out, err := os.Create(nod.logPath())
+	out, err := os.Create(nod.outputPath())
 	if err != nil {
 		return err
 	}
@@ -101,59 +101,59 @@
 	return nod.cmd, nod.done
 }
 
-// harm notes until when callers of the process may see connections end.
-func (nod *node) harm(until time.Time) {
+// markDisrupted notes until when callers of the process may see connections end.
+func (nod *node) markDisrupted(until time.Time) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	if until.After(nod.harmed) {
-		nod.harmed = until
+	if until.After(nod.disruptedUntil) {
+		nod.disruptedUntil = until
 	}
 }
 
-// harmedAt reports whether callers may see connections end at a time.
-func (nod *node) harmedAt(now time.Time) bool {
+// disruptedAt reports whether callers may see connections end at a time.
+func (nod *node) disruptedAt(now time.Time) bool {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	return now.Before(nod.harmed)
+	return now.Before(nod.disruptedUntil)
 }
 
-// setPaused notes that the process is paused, and reports whether that changed.
-func (nod *node) setPaused(paused bool) bool {
+// setDown notes that the process is paused, and reports whether that changed.
+func (nod *node) setDown(down bool) bool {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	changed := nod.paused != paused
-	nod.paused = paused
+	changed := nod.down != down
+	nod.down = down
 	return changed
 }
 
 // terminate ends the process gracefully. It returns what was wrong with that.
-func (nod *node) terminate() (wrong string) {
+func (nod *node) terminate() (violation string) {
 	cmd, done := nod.signal(syscall.SIGTERM)
 	select {
 	case <-done:
-	case <-time.After(graceTime):
+	case <-time.After(gracePeriod):
 		nod.signal(syscall.SIGKILL)
 		<-done
-		return fmt.Sprintf("process %s has not ended %v after SIGTERM", nod.name, graceTime)
+		return fmt.Sprintf("process %s has not ended %v after SIGTERM", nod.name, gracePeriod)
 	}
-	if cmd.ProcessState.Success() || nod.unborn() && cmd.ProcessState.ExitCode() < 0 {
+	if cmd.ProcessState.Success() || nod.outputEmpty() && cmd.ProcessState.ExitCode() < 0 {
 		return ""
 	}
 	return fmt.Sprintf("process %s ended with %v after SIGTERM", nod.name, cmd.ProcessState)
 }
 
-// unborn reports whether the process has not written a line. The signal may come
+// outputEmpty reports whether the process has not written a line. The signal may come
 // before a program that has just been started can handle signals; it has read
 // nothing then.
-func (nod *node) unborn() bool {
+func (nod *node) outputEmpty() bool {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	inf, err := os.Stat(nod.logPath())
+	inf, err := os.Stat(nod.outputPath())
 	return err == nil && inf.Size() == 0
 }
 
-// logPath is where the present process writes.
-func (nod *node) logPath() string {
+// outputPath is where the present process writes.
+func (nod *node) outputPath() string {
 	return filepath.Join(nod.dir, fmt.Sprintf("%s.%d.log", nod.name, nod.starts))
 }
 
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -31,15 +31,15 @@
 	} {
 		t.Run(tst.name, func(t *testing.T) {
 			nod := startScript(t, tst.script)
-			for end := time.Now().Add(5 * time.Second); strings.Contains(tst.script, "started") && nod.unborn() && time.Now().Before(end); {
+			for end := time.Now().Add(5 * time.Second); strings.Contains(tst.script, "started") && nod.outputEmpty() && time.Now().Before(end); {
 				time.Sleep(5 * time.Millisecond)
 			}
-			wrong := nod.terminate()
+			violation := nod.terminate()
 			if tst.want == "" {
-				assert.Equal(t, wrong, "")
+				assert.Equal(t, violation, "")
 				return
 			}
-			assert.Assert(t, strings.Contains(wrong, tst.want), "%q", wrong)
+			assert.Assert(t, strings.Contains(violation, tst.want), "%q", violation)
 		})
 	}
 }
--- a/internal/soak/proxy/proxy.go
+++ b/internal/soak/proxy/proxy.go
@@ -20,13 +20,13 @@
 	delay time.Duration
 	// cutUp and cutDown hold back what goes to the target, and from it.
 	cutUp, cutDown bool
-	// changed is closed and replaced when a cut changes.
-	changed chan struct{}
+	// cutChanged is closed and replaced when a cut changes.
+	cutChanged chan struct{}
 }
 
 // link is one connection through the proxy.
 type link struct {
-	near, far net.Conn
+	client, server net.Conn
 	// silent is closed when nothing passes any more.
 	silent chan struct{}
 }
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("proxy for %s: %w", target, err)
 	}
-	pro = &Proxy{lis: lis, target: target, links: map[*link]bool{}, changed: make(chan struct{})}
+	pro = &Proxy{lis: lis, target: target, links: map[*link]bool{}, cutChanged: make(chan struct{})}
 	go pro.accept()
 	return pro, nil
 }
@@ -56,39 +56,39 @@
 
 func (pro *Proxy) accept() {
 	for {
-		near, err := pro.lis.Accept()
+		client, err := pro.lis.Accept()
 		if err != nil {
 			return
 		}
-		go pro.serve(near)
+		go pro.serve(client)
 	}
 }
 
-func (pro *Proxy) serve(near net.Conn) {
-	far, err := net.Dial("tcp", pro.target)
+func (pro *Proxy) serve(client net.Conn) {
+	server, err := net.Dial("tcp", pro.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	lin := &link{near: near, far: far, silent: make(chan struct{})}
+	lin := &link{client: client, server: server, silent: make(chan struct{})}
 	pro.mu.Lock()
 	pro.links[lin] = true
 	pro.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { pro.pump(lin, near, far, func() bool { return pro.cutUp }) })
-	both.Go(func() { pro.pump(lin, far, near, func() bool { return pro.cutDown }) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { pro.forward(lin, client, server, func() bool { return pro.cutUp }) })
+	directions.Go(func() { pro.forward(lin, server, client, func() bool { return pro.cutDown }) })
+	directions.Wait()
 	pro.mu.Lock()
 	delete(pro.links, lin)
 	pro.mu.Unlock()
 }
 
-// pump forwards one way until the connection ends.
-func (pro *Proxy) pump(lin *link, from, to net.Conn, cut func() bool) {
+// forward forwards one way until the connection ends.
+func (pro *Proxy) forward(lin *link, from, to net.Conn, cut func() bool) {
 	buf := make([]byte, chunkSize)
 	for {
 		n, err := from.Read(buf)
-		if n > 0 && !pro.pass(lin, cut) {
+		if n > 0 && !pro.awaitForward(lin, cut) {
 			// Nothing passes any more; the ends are left to find out.
 			_, _ = io.Copy(io.Discard, from)
 			return
@@ -106,9 +106,9 @@
 	}
 }
 
-// pass waits out delays and cuts. It reports whether the connection still
+// awaitForward waits out delays and cuts. It reports whether the connection still
 // forwards.
-func (pro *Proxy) pass(lin *link, cut func() bool) bool {
+func (pro *Proxy) awaitForward(lin *link, cut func() bool) bool {
 	pro.mu.Lock()
 	delay := pro.delay
 	pro.mu.Unlock()
@@ -117,14 +117,14 @@
 	}
 	for {
 		pro.mu.Lock()
-		held, changed := cut(), pro.changed
+		blocked, changed := cut(), pro.cutChanged
 		pro.mu.Unlock()
 		select {
 		case <-lin.silent:
 			return false
 		default:
 		}
-		if !held {
+		if !blocked {
 			return true
 		}
 		select {
@@ -147,8 +147,8 @@
 	pro.mu.Lock()
 	defer pro.mu.Unlock()
 	pro.cutUp, pro.cutDown = up, down
-	close(pro.changed)
-	pro.changed = make(chan struct{})
+	close(pro.cutChanged)
+	pro.cutChanged = make(chan struct{})
 }
 
 // Silence makes all open connections silent for good. New ones work.
@@ -166,8 +166,8 @@
 	pro.mu.Lock()
 	defer pro.mu.Unlock()
 	for lin := range pro.links {
-		reset(lin.near)
-		reset(lin.far)
+		reset(lin.client)
+		reset(lin.server)
 	}
 }
 
--- a/internal/soak/proxy/proxy_test.go
+++ b/internal/soak/proxy/proxy_test.go
@@ -11,8 +11,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// echo answers each byte with itself.
-func echo(t *testing.T) (address string) {
+// startEcho answers each byte with itself.
+func startEcho(t *testing.T) (address string) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	t.Cleanup(func() { _ = lis.Close() })
@@ -35,8 +35,8 @@
 	return con
 }
 
-// answers reports whether a byte comes back within a span.
-func answers(t *testing.T, con net.Conn, within time.Duration) bool {
+// echoes reports whether a byte comes back within a span.
+func echoes(t *testing.T, con net.Conn, within time.Duration) bool {
 	_, err := con.Write([]byte{1})
 	assert.NilError(t, err)
 	assert.NilError(t, con.SetReadDeadline(time.Now().Add(within)))
@@ -49,48 +49,48 @@
 }
 
 const (
-	soon  = 2 * time.Second
-	quiet = 150 * time.Millisecond
+	replyTimeout = 2 * time.Second
+	silenceTime  = 150 * time.Millisecond
 )
 
-// TestCutHeals holds bytes back while a way is cut and delivers them after it.
-func TestCutHeals(t *testing.T) {
-	pro, err := New(echo(t))
+// TestCutDelaysBytes holds bytes back while a way is cut and delivers them after it.
+func TestCutDelaysBytes(t *testing.T) {
+	pro, err := New(startEcho(t))
 	assert.NilError(t, err)
 	defer pro.Close()
 	con := dial(t, pro)
-	assert.Assert(t, answers(t, con, soon))
+	assert.Assert(t, echoes(t, con, replyTimeout))
 	for _, cut := range []struct{ up, down bool }{{true, false}, {false, true}} {
 		pro.SetCut(cut.up, cut.down)
-		assert.Assert(t, !answers(t, con, quiet))
+		assert.Assert(t, !echoes(t, con, silenceTime))
 		pro.SetCut(false, false)
-		assert.NilError(t, con.SetReadDeadline(time.Now().Add(soon)))
+		assert.NilError(t, con.SetReadDeadline(time.Now().Add(replyTimeout)))
 		_, err := con.Read(make([]byte, 1))
 		assert.NilError(t, err)
 	}
 }
 
-// TestSilenceIsForGood silences what is open; new connections work.
-func TestSilenceIsForGood(t *testing.T) {
-	pro, err := New(echo(t))
+// TestSilenceIsPermanent silences what is open; new connections work.
+func TestSilenceIsPermanent(t *testing.T) {
+	pro, err := New(startEcho(t))
 	assert.NilError(t, err)
 	defer pro.Close()
 	con := dial(t, pro)
-	assert.Assert(t, answers(t, con, soon))
+	assert.Assert(t, echoes(t, con, replyTimeout))
 	pro.Silence()
-	assert.Assert(t, !answers(t, con, quiet))
-	assert.Assert(t, answers(t, dial(t, pro), soon))
+	assert.Assert(t, !echoes(t, con, silenceTime))
+	assert.Assert(t, echoes(t, dial(t, pro), replyTimeout))
 }
 
 // TestReset ends open connections.
 func TestReset(t *testing.T) {
-	pro, err := New(echo(t))
+	pro, err := New(startEcho(t))
 	assert.NilError(t, err)
 	defer pro.Close()
 	con := dial(t, pro)
-	assert.Assert(t, answers(t, con, soon))
+	assert.Assert(t, echoes(t, con, replyTimeout))
 	pro.Reset()
-	assert.NilError(t, con.SetReadDeadline(time.Now().Add(soon)))
+	assert.NilError(t, con.SetReadDeadline(time.Now().Add(replyTimeout)))
 	_, err = con.Read(make([]byte, 1))
 	assert.Assert(t, err != nil && !errors.Is(err, os.ErrDeadlineExceeded), "%v", err)
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -62,13 +62,13 @@
 
 // Pauses between faults and how long faults last.
 const (
-	meanPause = 700 * time.Millisecond
-	// seriesShare is how often a fault strikes the same target as the one before,
+	meanInterval = 700 * time.Millisecond
+	// repeatProbability is how often a fault strikes the same target as the one before,
 	// right after it.
-	seriesShare = 0.3
-	seriesPause = 120 * time.Millisecond
-	shortest    = 300 * time.Millisecond
-	longest     = 4500 * time.Millisecond
+	repeatProbability = 0.3
+	repeatDelay       = 120 * time.Millisecond
+	minFaultTime      = 300 * time.Millisecond
+	maxFaultTime      = 4500 * time.Millisecond
 )
 
 // Schedule draws the faults of a run. The same seed draws the same ones.
@@ -89,7 +89,7 @@
 	}
 	at := time.Second
 	for at < span {
-		fau := Fault{At: at, Kind: draw(), For: shortest + time.Duration(rng.Int64N(int64(longest-shortest)))}
+		fau := Fault{At: at, Kind: draw(), For: minFaultTime + time.Duration(rng.Int64N(int64(maxFaultTime-minFaultTime)))}
 		switch fau.Kind {
 		case VMReset, VMSilence, VMCut, VMCrash:
 			fau.Target = rng.IntN(vms)
@@ -99,12 +99,12 @@
 			fau.Target = rng.IntN(nodes)
 		}
 		faults = append(faults, fau)
-		if rng.Float64() < seriesShare {
-			again := fau
-			again.At += seriesPause
-			faults = append(faults, again)
+		if rng.Float64() < repeatProbability {
+			repeat := fau
+			repeat.At += repeatDelay
+			faults = append(faults, repeat)
 		}
-		at += time.Duration(rng.ExpFloat64() * float64(meanPause))
+		at += time.Duration(rng.ExpFloat64() * float64(meanInterval))
 	}
 	return faults
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -39,25 +39,25 @@
 
 // Times of a run.
 const (
-	// settleTime is how long after the last fault all jobs must have ended.
-	settleTime = 25 * time.Second
-	readyTime  = 15 * time.Second
-	// waveTime is how long a wave of upkeep may take; waveCap is how many
+	// settleTimeout is how long after the last fault all jobs must have ended.
+	settleTimeout = 25 * time.Second
+	readyTimeout  = 15 * time.Second
+	// waveTimeout is how long a wave of upkeep may take; waveCap is how many
 	// machines it may take down at once.
-	waveTime = 20 * time.Second
-	waveCap  = 2
-	// leaseTime is how long a VM that can't be reached runs on, at most.
-	leaseTime = 4500 * time.Millisecond
-	// lastingTime is longer than a run of the soak.
-	lastingTime = time.Hour
-	// failShare is how often a run of a task fails.
-	failShare = 0.03
-	callers   = 6
+	waveTimeout = 20 * time.Second
+	waveMaxDown = 2
+	// vmLease is how long a VM that can't be reached runs on, at most.
+	vmLease = 4500 * time.Millisecond
+	// lastingTaskTime is longer than a run of the soak.
+	lastingTaskTime = time.Hour
+	// taskFailProbability is how often a run of a task fails.
+	taskFailProbability = 0.03
+	callerCount         = 6
 )
 
-// smallCap is the cap of the account that has one, in thousandths of a core:
+// smallCapMilliCPU is the cap of the account that has one, in thousandths of a core:
 // about one and a half times what the callers ask of it.
-const smallCap = 24_000
+const smallCapMilliCPU = 24_000
 
 // Run is a run of the soak.
 type Run struct {
@@ -65,40 +65,40 @@
 	ledger *ledger.Ledger
 	sit    *site.Site
 	nodes  []*node
-	// ways holds the proxy of each VM.
-	ways []*proxy.Proxy
+	// vmProxies holds the proxy of each VM.
+	vmProxies []*proxy.Proxy
 
 	mu      sync.Mutex
 	version int
 	keys    map[string]string
 	waves   int
 	// wrong ends of processes are recorded by those who wait for them.
-	waits sync.WaitGroup
+	pending sync.WaitGroup
 }
 
 // Execute plays a run. The error says that it could not be played.
 func Execute(ctx context.Context, opt Options) (rep Report, err error) {
-	run := &Run{opt: opt, keys: map[string]string{}, ledger: ledger.New(ledger.PlatformBounds, map[string]int64{accounts[0]: smallCap})}
+	run := &Run{opt: opt, keys: map[string]string{}, ledger: ledger.New(ledger.PlatformBounds, map[string]int64{accounts[0]: smallCapMilliCPU})}
 	defer run.close()
 	if err := run.start(); err != nil {
 		return Report{}, fmt.Errorf("soak with seed %d: %w", opt.Seed, err)
 	}
-	rep.Faults = Schedule(opt.Seed, opt.For, opt.Processes, len(run.ways), len(run.sit.Zones()))
-	submitting, stopSubmitting := context.WithTimeout(ctx, opt.For)
+	rep.Faults = Schedule(opt.Seed, opt.For, opt.Processes, len(run.vmProxies), len(run.sit.Zones()))
+	submitCtx, stopSubmitting := context.WithTimeout(ctx, opt.For)
 	defer stopSubmitting()
-	over, stop := context.WithTimeout(ctx, opt.For+settleTime)
+	settleCtx, stop := context.WithTimeout(ctx, opt.For+settleTimeout)
 	defer stop()
-	var work sync.WaitGroup
-	for i := range callers {
+	var callers sync.WaitGroup
+	for i := range callerCount {
 		cal := newCaller(run, i)
-		work.Go(func() { cal.work(submitting, over) })
+		callers.Go(func() { cal.submitJobs(submitCtx, settleCtx) })
 	}
-	run.inject(submitting, rep.Faults)
-	run.waits.Wait()
-	work.Wait()
+	run.injectSchedule(submitCtx, rep.Faults)
+	run.pending.Wait()
+	callers.Wait()
 	// What was cancelled last may be stopped yet, and what a fault has cut off ends
 	// with its lease.
-	clock.Pause(ctx, ledger.PlatformBounds.Cancel+leaseTime)
+	clock.Pause(ctx, ledger.PlatformBounds.Cancel+vmLease)
 	run.stopNodes()
 	if ctx.Err() == nil {
 		run.ledger.Finish(time.Now())
@@ -129,30 +129,30 @@
 		Pools: run.pools(),
 		Outcome: func(task string, _ int) (time.Duration, string) {
 			if run.ledger.Lasts(task) {
-				return lastingTime, "failed"
+				return lastingTaskTime, "failed"
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			how := "done"
-			if rng.Float64() < failShare {
+			if rng.Float64() < taskFailProbability {
 				how = "failed"
 			}
-			return time.Duration(float64(taskTime) * (0.3 + 1.5*rng.Float64())), how
+			return time.Duration(float64(taskEstimate) * (0.3 + 1.5*rng.Float64())), how
 		},
 		Expose: func(_, address string) (string, error) {
-			pro, err := proxy.New(address)
+			prx, err := proxy.New(address)
 			if err != nil {
 				return "", err
 			}
-			run.ways = append(run.ways, pro)
-			return pro.Address(), nil
+			run.vmProxies = append(run.vmProxies, prx)
+			return prx.Address(), nil
 		},
 		Observer: observer{run.ledger},
 	})
 	if err != nil {
 		return err
 	}
-	run.changeKeys(accounts...)
+	run.rotateKeys(accounts...)
 	for i := range run.opt.Processes {
 		nod, err := newNode(fmt.Sprintf("entry-%d", i), run.opt.Binary, run.opt.Dir, run.sit.StoreAddress, run.sit.MachinesAddress)
 		if err != nil {
@@ -184,8 +184,8 @@
 		}
 		nod.store.Close()
 	}
-	for _, way := range run.ways {
-		way.Close()
+	for _, prx := range run.vmProxies {
+		prx.Close()
 	}
 	if run.sit != nil {
 		run.sit.Stop()
@@ -194,15 +194,15 @@
 
 // stopNodes ends all processes gracefully.
 func (run *Run) stopNodes() {
-	var ends sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, nod := range run.nodes {
-		ends.Go(func() {
-			if wrong := nod.terminate(); wrong != "" {
-				run.ledger.AddViolation(time.Now(), wrong)
+		stopping.Go(func() {
+			if violation := nod.terminate(); violation != "" {
+				run.ledger.AddViolation(time.Now(), violation)
 			}
 		})
 	}
-	ends.Wait()
+	stopping.Wait()
 }
 
 func (run *Run) key(account string) string {
@@ -211,15 +211,15 @@
 	return run.keys[account]
 }
 
-// changeKeys gives accounts new keys in a new configuration. The former ones are
+// rotateKeys gives accounts new keys in a new configuration. The former ones are
 // withdrawn.
-func (run *Run) changeKeys(names ...string) {
+func (run *Run) rotateKeys(names ...string) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	run.version += 2
-	former := map[string]string{}
+	withdrawn := map[string]string{}
 	for _, name := range names {
-		former[name] = run.keys[name]
+		withdrawn[name] = run.keys[name]
 		run.keys[name] = fmt.Sprintf("%s-%d", name, run.version)
 	}
 	cfg := site.Config{
@@ -229,27 +229,27 @@
 	for _, name := range accounts {
 		acc := site.Account{Name: name, Keys: []string{run.keys[name]}}
 		if name == accounts[0] {
-			acc.CPU = smallCap
+			acc.CPU = smallCapMilliCPU
 		}
 		cfg.Accounts = append(cfg.Accounts, acc)
 	}
 	run.sit.Configure(cfg)
-	for _, key := range former {
+	for _, key := range withdrawn {
 		if key != "" {
 			run.ledger.Withdraw(time.Now(), key)
 		}
 	}
 }
 
-// inject injects the faults at their times.
-func (run *Run) inject(ctx context.Context, faults []Fault) {
-	began := time.Now()
+// injectSchedule injects the faults at their times.
+func (run *Run) injectSchedule(ctx context.Context, faults []Fault) {
+	start := time.Now()
 	for _, fau := range faults {
-		clock.Pause(ctx, time.Until(began.Add(fau.At)))
+		clock.Pause(ctx, time.Until(start.Add(fau.At)))
 		if ctx.Err() != nil {
 			return
 		}
-		run.strike(fau)
+		run.injectFault(fau)
 	}
 	<-ctx.Done()
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestScheduleFollowsItsSeed draws the same faults for a seed, others for
+// TestScheduleIsDeterministic draws the same faults for a seed, others for
 // another one, and every kind in the long run.
-func TestScheduleFollowsItsSeed(t *testing.T) {
+func TestScheduleIsDeterministic(t *testing.T) {
 	draw := func(seed uint64) []Fault { return Schedule(seed, 10*time.Minute, 3, 8, 3) }
 	assert.DeepEqual(t, draw(1), draw(1))
 	assert.Assert(t, draw(1)[0] != draw(2)[0])
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -12,82 +12,82 @@
 // linkDelay is how much a slow way delays, each way.
 const linkDelay = 150 * time.Millisecond
 
-// lostAnswers is how many answers of writes the store loses at a time.
-const lostAnswers = 2
+// lostReplies is how many answers of writes the store loses at a time.
+const lostReplies = 2
 
-// strike injects a fault. What lasts is ended later.
-func (run *Run) strike(fau Fault) {
-	later := func(end func()) {
-		run.waits.Go(func() {
+// injectFault injects a fault. What lasts is ended later.
+func (run *Run) injectFault(fau Fault) {
+	afterFault := func(revert func()) {
+		run.pending.Go(func() {
 			time.Sleep(fau.For)
-			end()
+			revert()
 		})
 	}
 	switch fau.Kind {
 	case NodeKill, NodeTerm, NodePause, NodeReload:
-		run.strikeNode(fau, run.nodes[fau.Target], later)
+		run.injectNodeFault(fau, run.nodes[fau.Target], afterFault)
 	case LinkReset, LinkSilence, LinkCutUp, LinkCutDown, LinkDelay:
-		strikeWay(fau, run.nodes[fau.Target].store, later)
+		injectLinkFault(fau, run.nodes[fau.Target].store, afterFault)
 	case VMReset, VMSilence:
-		strikeWay(fau, run.ways[fau.Target], later)
+		injectLinkFault(fau, run.vmProxies[fau.Target], afterFault)
 	case VMCut:
-		run.cutVM(fau, later)
+		run.cutVM(fau, afterFault)
 	case VMCrash:
 		run.sit.Workers[fau.Target].Crash(fau.For)
 	case StoreDown:
 		run.sit.Store.SetDown(true)
-		later(func() { run.sit.Store.SetDown(false) })
+		afterFault(func() { run.sit.Store.SetDown(false) })
 	case StoreReplyLost:
-		run.sit.Store.LoseAnswers(lostAnswers)
+		run.sit.Store.LoseAnswers(lostReplies)
 	case StoreCompact:
 		run.sit.Store.Compact()
 	case KeyChange:
-		run.changeKeys(accounts[fau.Target%len(accounts)])
+		run.rotateKeys(accounts[fau.Target%len(accounts)])
 	case ZoneOut:
 		zone := run.sit.Zones()[fau.Target]
 		run.sit.SetZoneOut(zone, true)
 		run.ledger.ZoneOut(time.Now(), zone)
-		later(func() {
+		afterFault(func() {
 			run.sit.SetZoneOut(zone, false)
 			run.ledger.ZoneIn(zone)
 		})
 	case WaveRequested:
-		run.askWave()
+		run.requestWave()
 	default:
 		panic(fmt.Sprintf("soak: unknown fault %q", fau.Kind))
 	}
 }
 
-func (run *Run) strikeNode(fau Fault, nod *node, later func(func())) {
+func (run *Run) injectNodeFault(fau Fault, nod *node, afterFault func(func())) {
 	now := time.Now()
 	switch fau.Kind {
 	case NodeReload:
 		nod.signal(syscall.SIGHUP)
 	case NodePause:
-		if !nod.setPaused(true) {
+		if !nod.setDown(true) {
 			return
 		}
-		nod.harm(now.Add(fau.For + callTimeout))
+		nod.markDisrupted(now.Add(fau.For + callTimeout))
 		nod.signal(syscall.SIGSTOP)
-		later(func() {
-			nod.setPaused(false)
+		afterFault(func() {
+			nod.setDown(false)
 			nod.signal(syscall.SIGCONT)
 		})
 	case NodeKill:
-		if !nod.setPaused(true) {
+		if !nod.setDown(true) {
 			return
 		}
-		nod.harm(now.Add(fau.For + callTimeout + readyTime))
+		nod.markDisrupted(now.Add(fau.For + callTimeout + readyTimeout))
 		nod.kill()
-		later(func() { run.restart(nod) })
+		afterFault(func() { run.restart(nod) })
 	case NodeTerm:
 		// A process that is paused or gone can't end gracefully.
-		if !nod.setPaused(true) {
+		if !nod.setDown(true) {
 			return
 		}
-		run.waits.Go(func() {
-			if wrong := nod.terminate(); wrong != "" {
-				run.ledger.AddViolation(time.Now(), wrong)
+		run.pending.Go(func() {
+			if violation := nod.terminate(); violation != "" {
+				run.ledger.AddViolation(time.Now(), violation)
 			}
 			run.restart(nod)
 		})
@@ -99,43 +99,43 @@
 	if err := nod.start(); err != nil {
 		run.ledger.AddViolation(time.Now(), err.Error())
 	}
-	nod.setPaused(false)
+	nod.setDown(false)
 }
 
 // cutVM cuts the way to a VM. Orders that are held up come after it heals.
-func (run *Run) cutVM(fau Fault, later func(func())) {
-	way, machine := run.ways[fau.Target], fmt.Sprintf("vm-%d", fau.Target)
-	way.SetCut(true, true)
+func (run *Run) cutVM(fau Fault, afterFault func(func())) {
+	prx, machine := run.vmProxies[fau.Target], fmt.Sprintf("vm-%d", fau.Target)
+	prx.SetCut(true, true)
 	run.ledger.LinkCut(time.Now(), machine)
-	later(func() {
-		run.ledger.LinkCut(time.Now().Add(heldUpTime), machine)
-		way.SetCut(false, false)
+	afterFault(func() {
+		run.ledger.LinkCut(time.Now().Add(cutDrainTime), machine)
+		prx.SetCut(false, false)
 	})
 }
 
-// heldUpTime is how long after a cut what was held up arrives at the latest.
-const heldUpTime = 200 * time.Millisecond
+// cutDrainTime is how long after a cut what was held up arrives at the latest.
+const cutDrainTime = 200 * time.Millisecond
 
-func strikeWay(fau Fault, way *proxy.Proxy, later func(func())) {
+func injectLinkFault(fau Fault, prx *proxy.Proxy, afterFault func(func())) {
 	switch fau.Kind {
 	case LinkReset, VMReset:
-		way.Reset()
+		prx.Reset()
 	case LinkSilence, VMSilence:
-		way.Silence()
+		prx.Silence()
 	case LinkCutUp:
-		way.SetCut(true, false)
-		later(func() { way.SetCut(false, false) })
+		prx.SetCut(true, false)
+		afterFault(func() { prx.SetCut(false, false) })
 	case LinkCutDown:
-		way.SetCut(false, true)
-		later(func() { way.SetCut(false, false) })
+		prx.SetCut(false, true)
+		afterFault(func() { prx.SetCut(false, false) })
 	case LinkDelay:
-		way.SetDelay(linkDelay)
-		later(func() { way.SetDelay(0) })
+		prx.SetDelay(linkDelay)
+		afterFault(func() { prx.SetDelay(0) })
 	}
 }
 
-// askWave asks for the upkeep of half of the machines.
-func (run *Run) askWave() {
+// requestWave asks for the upkeep of half of the machines.
+func (run *Run) requestWave() {
 	run.waves++
 	machines := []string{}
 	for i, wor := range run.sit.Workers {
@@ -143,14 +143,14 @@
 			machines = append(machines, wor.Machine())
 		}
 	}
-	run.sit.AskWave(run.waves, machines, waveTime, waveCap)
+	run.sit.AskWave(run.waves, machines, waveTimeout, waveMaxDown)
 }
 
 // awaitReady waits until all processes take calls.
 func (run *Run) awaitReady() error {
 	client := &http.Client{Timeout: time.Second}
 	for _, nod := range run.nodes {
-		end := time.Now().Add(readyTime)
+		end := time.Now().Add(readyTimeout)
 		for ready := false; !ready; {
 			rsp, err := client.Get("http://" + nod.ready + "/readyz")
 			if err == nil {
@@ -158,7 +158,7 @@
 				_ = rsp.Body.Close()
 			}
 			if time.Now().After(end) {
-				return fmt.Errorf("process %s is not ready after %v", nod.name, readyTime)
+				return fmt.Errorf("process %s is not ready after %v", nod.name, readyTimeout)
 			}
 			if !ready {
 				time.Sleep(50 * time.Millisecond)
--- a/internal/timeline/clock.go
+++ b/internal/timeline/clock.go
@@ -31,7 +31,7 @@
 func (clk *Clock) Now(now time.Time) Stamp {
 	clk.mu.Lock()
 	defer clk.mu.Unlock()
-	clk.last = max(clk.last+1, wall(now))
+	clk.last = max(clk.last+1, wallStamp(now))
 	return clk.last
 }
 
@@ -39,11 +39,11 @@
 func (clk *Clock) Observe(now time.Time, stm Stamp) {
 	clk.mu.Lock()
 	defer clk.mu.Unlock()
-	if stm <= wall(now.Add(maxAhead)) {
+	if stm <= wallStamp(now.Add(maxAhead)) {
 		clk.last = max(clk.last, stm)
 	}
 }
 
-func wall(now time.Time) Stamp {
+func wallStamp(now time.Time) Stamp {
 	return Stamp(now.UnixMilli()) << counterBits
 }
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -22,13 +22,13 @@
 	assert.DeepEqual(t, merged, []timeline.Event{early, cause, effect})
 }
 
-func TestWildClockIsNotFollowed(t *testing.T) {
+func TestFarAheadStampIsIgnored(t *testing.T) {
 	var clk timeline.Clock
 	clk.Observe(noon, timeline.Stamp(noon.Add(time.Hour).UnixMilli())<<16)
 	assert.Assert(t, clk.Now(noon).Time().Before(noon.Add(time.Second)))
 }
 
-func TestStampsOnlyGoUp(t *testing.T) {
+func TestStampsIncrease(t *testing.T) {
 	var clk timeline.Clock
 	last := clk.Now(noon)
 	for range 1000 {
