--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -16,23 +16,23 @@
 	"github.com/balsamgauge/balsamgauge/internal/standin/site"
 )
 
-// Times of callers.
+// Timeouts and intervals of callers.
 const (
-	// callTimeout is how long a caller waits.
+	// callTimeout is the time that a caller waits for a reply.
 	callTimeout = 3 * time.Second
-	// submitTimeout is for how long a caller tries to submit a job.
+	// submitTimeout is the time for which a caller retries the submission of a job.
 	submitTimeout = 12 * time.Second
 	retryInterval = 150 * time.Millisecond
 	pollInterval  = 400 * time.Millisecond
-	// unreadWindow is how soon after it was sent a request may be cut by a process
-	// that shuts down, since the process had not read it.
+	// unreadWindow is the time after sending within which a process that shuts
+	// down may cut a request, because it may not have read it yet.
 	unreadWindow = 200 * time.Millisecond
 )
 
 // accounts are the client accounts; the first has a cap.
 var accounts = []string{"small", "large"}
 
-// caller submits jobs and asks for them until it is told to stop.
+// caller submits jobs and polls their states until it is stopped.
 type caller struct {
 	run    *Run
 	number int
@@ -48,9 +48,9 @@
 	}
 }
 
-// submitJobs submits a job after the other until the context is done, and asks for
-// each until it has ended or all is over.
-func (cal *caller) submitJobs(ctx, settleCtx context.Context) {
+// work submits one job after another until ctx is done, and polls each until it
+// has ended or settleCtx is done.
+func (cal *caller) work(ctx, settleCtx context.Context) {
 	var followers sync.WaitGroup
 	for ctx.Err() == nil {
 		job := cal.newJob()
@@ -63,7 +63,8 @@
 	followers.Wait()
 }
 
-// newJob draws a job of up to three steps; some last.
+// newJob returns a random job: one in 20 has lasting tasks, the others have up to
+// three steps.
 func (cal *caller) newJob() ledger.Job {
 	cal.sent++
 	job := ledger.Job{
@@ -84,9 +85,10 @@
 	return job
 }
 
-// taskEstimate is what callers estimate for a task.
+// taskEstimate is the duration that callers estimate for a task.
 const taskEstimate = 300 * time.Millisecond
 
+// jobBody returns the request body that submits a job.
 func jobBody(job ledger.Job) string {
 	steps := make([]site.Step, len(job.Steps))
 	for i, ste := range job.Steps {
@@ -95,7 +97,8 @@
 	return site.JobBody(job.Payload, steps)
 }
 
-// submit sends a job to one process after the other until it is accepted.
+// submit sends a job to random processes until one accepts it. It reports whether
+// one did before submitTimeout.
 func (cal *caller) submit(ctx context.Context, job ledger.Job) bool {
 	text := jobBody(job)
 	for end := time.Now().Add(submitTimeout); time.Now().Before(end) && ctx.Err() == nil; {
@@ -111,7 +114,7 @@
 			out = ledger.Refused
 		case 0, http.StatusGatewayTimeout, http.StatusBadGateway:
 		default:
-			cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("job %s is answered with status %d", job.ID, status))
+			cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("submission of job %s was answered with status %d", job.ID, status))
 		}
 		cal.run.ledger.Answer(time.Now(), sent, job.ID, key, out)
 		if out == ledger.Accepted {
@@ -122,8 +125,8 @@
 	return false
 }
 
-// pollJob asks for a job until it has ended. Some jobs are cancelled on the way;
-// those that last are cancelled at the end.
+// pollJob requests the state of a job until it has ended. One job in 8 is
+// cancelled after a few polls, lasting jobs when submission ends.
 func (cal *caller) pollJob(ctx, settleCtx context.Context, job ledger.Job, rng *rand.Rand) {
 	cancelAfter := -1
 	if rng.IntN(8) == 0 {
@@ -158,7 +161,8 @@
 	}
 }
 
-// cancel cancels a job; it reports whether that was acknowledged.
+// cancel cancels a job. It reports whether the cancellation was acknowledged or
+// the job does not exist.
 func (cal *caller) cancel(settleCtx context.Context, rng *rand.Rand, job ledger.Job) bool {
 	for settleCtx.Err() == nil {
 		status, text := cal.call(rng, http.MethodDelete, job, cal.run.key(job.Account), "")
@@ -167,7 +171,7 @@
 			cal.run.ledger.Cancelled(time.Now(), job.ID)
 			return true
 		case status == http.StatusOK:
-			// It had ended before.
+			// The job had already ended.
 			return false
 		case status == http.StatusGone:
 			cal.run.ledger.StateReported(time.Now(), job.ID, "gone")
@@ -178,7 +182,8 @@
 	return false
 }
 
-// call makes a call to some process; status 0 means that no answer came.
+// call sends a request to a random process. It returns status 0 if no reply was
+// received.
 func (cal *caller) call(rng *rand.Rand, method string, job ledger.Job, key, text string) (status int, answer string) {
 	nod := cal.run.nodes[rng.IntN(len(cal.run.nodes))]
 	req, err := http.NewRequest(method, "http://"+nod.callers+queuePrefix+job.ID, strings.NewReader(text))
@@ -198,9 +203,9 @@
 		}
 		err = readErr
 	}
-	// A process that shuts down answers what it has read.
+	// A process that shuts down answers every request that it has read.
 	if took := time.Since(sent); took > unreadWindow && took < callTimeout-unreadWindow && !nod.disruptedAt(sent) && !nod.disruptedAt(time.Now()) {
-		cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("%s of job %s is cut by %s after %v: %v", method, job.ID, nod.name, took, err))
+		cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("%s of job %s was cut by %s after %v: %v", method, job.ID, nod.name, took, err))
 	}
 	return 0, ""
 }
--- a/internal/soak/strike.go
+++ b/internal/soak/inject.go
@@ -9,13 +9,13 @@
 	"github.com/balsamgauge/balsamgauge/internal/soak/proxy"
 )
 
-// linkDelay is how much a slow way delays, each way.
+// linkDelay is the delay that LinkDelay adds in each direction.
 const linkDelay = 150 * time.Millisecond
 
-// lostReplies is how many answers of writes the store loses at a time.
+// lostReplies is the number of replies to writes that the store drops per fault.
 const lostReplies = 2
 
-// injectFault injects a fault. What lasts is ended later.
+// injectFault injects a fault. A fault that lasts is reverted after its duration.
 func (run *Run) injectFault(fau Fault) {
 	afterFault := func(revert func()) {
 		run.pending.Go(func() {
@@ -58,6 +58,7 @@
 	}
 }
 
+// injectNodeFault injects a fault of one process.
 func (run *Run) injectNodeFault(fau Fault, nod *node, afterFault func(func())) {
 	now := time.Now()
 	switch fau.Kind {
@@ -81,7 +82,7 @@
 		nod.kill()
 		afterFault(func() { run.restart(nod) })
 	case NodeTerm:
-		// A process that is paused or gone can't end gracefully.
+		// A process that is paused or has ended can't shut down gracefully.
 		if !nod.setDown(true) {
 			return
 		}
@@ -94,7 +95,7 @@
 	}
 }
 
-// restart starts a process that has ended.
+// restart starts the process of a node again after it has ended.
 func (run *Run) restart(nod *node) {
 	if err := nod.start(); err != nil {
 		run.ledger.AddViolation(time.Now(), err.Error())
@@ -102,7 +103,8 @@
 	nod.setDown(false)
 }
 
-// cutVM cuts the way to a VM. Orders that are held up come after it heals.
+// cutVM cuts the connections to a VM in both directions. Orders delayed by the cut
+// arrive after it is reverted.
 func (run *Run) cutVM(fau Fault, afterFault func(func())) {
 	prx, machine := run.vmProxies[fau.Target], fmt.Sprintf("vm-%d", fau.Target)
 	prx.SetCut(true, true)
@@ -113,9 +115,11 @@
 	})
 }
 
-// cutDrainTime is how long after a cut what was held up arrives at the latest.
+// cutDrainTime is the longest time after the end of a cut at which delayed data
+// arrives.
 const cutDrainTime = 200 * time.Millisecond
 
+// injectLinkFault injects a fault of the connections through a proxy.
 func injectLinkFault(fau Fault, prx *proxy.Proxy, afterFault func(func())) {
 	switch fau.Kind {
 	case LinkReset, VMReset:
@@ -134,7 +138,8 @@
 	}
 }
 
-// requestWave asks for the upkeep of half of the machines.
+// requestWave requests the upkeep of half of the machines, alternating between
+// the two halves.
 func (run *Run) requestWave() {
 	run.waves++
 	machines := []string{}
@@ -146,7 +151,7 @@
 	run.sit.AskWave(run.waves, machines, waveTimeout, waveMaxDown)
 }
 
-// awaitReady waits until all processes take calls.
+// awaitReady waits until every process reports that it is ready.
 func (run *Run) awaitReady() error {
 	client := &http.Client{Timeout: time.Second}
 	for _, nod := range run.nodes {
--- a/internal/soak/ledger/ledger_test.go
+++ b/internal/soak/ledger/ledger_test.go
@@ -10,7 +10,8 @@
 
 var noon = time.Date(2026, 1, 2, 12, 0, 0, 0, time.UTC)
 
-// newTestLedger has a job of two steps that was accepted with key "k".
+// newTestLedger returns a ledger with a job of two steps that was accepted with
+// key "k".
 func newTestLedger() *Ledger {
 	led := New(PlatformBounds, map[string]int64{"small": 12_000})
 	job := Job{ID: "j", Account: "small", Payload: "p", Steps: []Step{{Count: 2, CPU: 2000}, {Count: 1, CPU: 2000, After: []int{0}}}}
@@ -19,7 +20,7 @@
 	return led
 }
 
-// play runs a task to its end, and acknowledges it.
+// play records a run of a task from its start to its acknowledged end.
 func play(led *Ledger, task string, run int, how string) {
 	led.Started(noon, "vm", "az0", task, run, "p")
 	led.Ended("vm", task, how)
@@ -28,13 +29,14 @@
 
 const first, second = "j.0.0.0", "j.0.0.1"
 
-// histories are what the ledger is fed, with what it must find.
+// histories are sequences of observations, each with the violation that the
+// ledger must report.
 var histories = []struct {
 	name    string
 	history func(led *Ledger)
 	want    string
 }{
-	{"sound", func(led *Ledger) {
+	{"valid", func(led *Ledger) {
 		play(led, first, 1, "failed")
 		play(led, first, 2, "done")
 		play(led, second, 1, "done")
@@ -42,54 +44,54 @@
 		led.StateReported(noon, "j", "completed")
 		led.Finish(noon)
 	}, ""},
-	{"twice at once", func(led *Ledger) {
+	{"two concurrent runs", func(led *Ledger) {
 		led.Started(noon, "vm", "az0", first, 1, "p")
 		led.Started(noon, "oth", "az0", first, 2, "p")
-	}, "starts on oth while it runs"},
-	{"after its end", func(led *Ledger) {
+	}, "starts on oth while another run is active"},
+	{"run after acknowledged end", func(led *Ledger) {
 		play(led, first, 1, "done")
 		play(led, first, 2, "done")
 	}, "after its end was acknowledged"},
-	{"before its step", func(led *Ledger) { led.Started(noon, "vm", "az0", "j.0.1.0", 1, "p") }, "starts before j.0.0.0 is done"},
-	{"beyond its attempts", func(led *Ledger) {
+	{"run before predecessor", func(led *Ledger) { led.Started(noon, "vm", "az0", "j.0.1.0", 1, "p") }, "starts before j.0.0.0 is done"},
+	{"run beyond attempts", func(led *Ledger) {
 		for run := range 5 {
 			play(led, first, run+1, "failed")
 		}
 	}, "after 4 failed runs"},
-	{"beyond the room", func(led *Ledger) {
+	{"VM over capacity", func(led *Ledger) {
 		led.Send(Job{ID: "b", Account: "large", Payload: "p", Steps: []Step{{Count: 1, CPU: 17_000}}})
 		led.Answer(noon, noon, "b", "k", Accepted)
 		led.Started(noon, "vm", "az0", "b.0.0.0", 1, "p")
-	}, "brings vm to 17000 of 16000"},
-	{"beyond the cap", func(led *Ledger) {
+	}, "raises the load of vm to 17000 of 16000 millicores"},
+	{"account over cap", func(led *Ledger) {
 		led.Send(Job{ID: "b", Account: "small", Payload: "p", Steps: []Step{{Count: 9, CPU: 2000}}})
 		led.Answer(noon, noon, "b", "k", Accepted)
 		for i := range 8 {
 			led.Started(noon, []string{"vm", "oth"}[i%2], "az0", taskName("b", 0, i), 1, "p")
 		}
-	}, "brings account small to 16000 of 12000"},
-	{"never sent", func(led *Ledger) { led.Started(noon, "vm", "az0", "x.0.0.0", 1, "p") }, "which nobody sent so"},
-	{"another payload", func(led *Ledger) { led.Started(noon, "vm", "az0", first, 1, "q") }, "which nobody sent so"},
-	{"refused and run", func(led *Ledger) {
+	}, "raises the load of account small to 16000 of 12000 millicores"},
+	{"never submitted", func(led *Ledger) { led.Started(noon, "vm", "az0", "x.0.0.0", 1, "p") }, "no caller submitted it with this payload"},
+	{"another payload", func(led *Ledger) { led.Started(noon, "vm", "az0", first, 1, "q") }, "no caller submitted it with this payload"},
+	{"run of refused job", func(led *Ledger) {
 		led.Send(Job{ID: "r", Payload: "p", Steps: []Step{{Count: 1}}})
 		led.Answer(noon, noon, "r", "k", Refused)
 		led.Started(noon, "vm", "az0", "r.0.0.0", 1, "p")
-	}, "though its job was always refused"},
-	{"cancelled and run", func(led *Ledger) {
+	}, "but every submission of its job was refused"},
+	{"run of cancelled job", func(led *Ledger) {
 		led.Cancelled(noon, "j")
 		led.Started(noon.Add(4*time.Second), "vm", "az0", first, 1, "p")
 	}, "after its job was cancelled"},
-	{"cancelled and running at the end", func(led *Ledger) {
+	{"cancelled job running at the end", func(led *Ledger) {
 		led.Started(noon, "vm", "az0", first, 1, "p")
 		led.Cancelled(noon, "j")
 		led.Finish(noon)
-	}, "runs at the end, though its job is cancelled"},
-	{"cancelled and run after an order was held up", func(led *Ledger) {
+	}, "is running at the end, but its job is cancelled"},
+	{"run of cancelled job after an order was delayed by a cut", func(led *Ledger) {
 		led.Cancelled(noon, "j")
 		led.LinkCut(noon.Add(4*time.Second), "vm")
 		led.Started(noon.Add(4*time.Second), "vm.2", "az0", first, 1, "p")
 	}, ""},
-	{"cancelled and run after the way was sound", func(led *Ledger) {
+	{"run of cancelled job after a cut that ended before", func(led *Ledger) {
 		led.LinkCut(noon.Add(-time.Second), "vm")
 		led.Cancelled(noon, "j")
 		led.Started(noon.Add(4*time.Second), "vm.2", "az0", first, 1, "p")
@@ -98,29 +100,29 @@
 		led.Withdraw(noon, "k")
 		led.Send(Job{ID: "w"})
 		led.Answer(noon.Add(6*time.Second), noon.Add(6*time.Second), "w", "k", Accepted)
-	}, "with a key that was withdrawn 6s before"},
+	}, "with a key that had been withdrawn 6s earlier"},
 	{"zone out", func(led *Ledger) {
 		led.ZoneOut(noon, "az0")
 		led.Started(noon.Add(6*time.Second), "vm", "az0", first, 1, "p")
-	}, "starts in zone az0, which is out for 6s"},
-	{"lost", func(led *Ledger) { led.Finish(noon) }, `was accepted and is "" at the end`},
-	{"forgotten", func(led *Ledger) { led.StateReported(noon, "j", "gone") }, "said not to exist"},
-	{"completed too soon", func(led *Ledger) {
+	}, "starts in zone az0, which has been out for 6s"},
+	{"lost job", func(led *Ledger) { led.Finish(noon) }, `was accepted, but its state at the end is ""`},
+	{"accepted job reported as gone", func(led *Ledger) { led.StateReported(noon, "j", "gone") }, "reported as not existing"},
+	{"completed before its last task", func(led *Ledger) {
 		play(led, first, 1, "done")
 		play(led, second, 1, "done")
 		led.StateReported(noon, "j", "completed")
-	}, "told as completed and j.0.1.0 is not done"},
-	{"failed without cause", func(led *Ledger) { led.StateReported(noon, "j", "failed") }, "told as failed after 0 failed runs"},
-	{"cancelled by nobody", func(led *Ledger) { led.StateReported(noon, "j", "cancelled") }, "which nobody asked for"},
-	{"turned back", func(led *Ledger) {
+	}, "reported as completed, but j.0.1.0 is not done"},
+	{"failed without failed runs", func(led *Ledger) { led.StateReported(noon, "j", "failed") }, "reported as failed after 0 failed runs"},
+	{"cancelled without a request", func(led *Ledger) { led.StateReported(noon, "j", "cancelled") }, "but no caller cancelled it"},
+	{"final state changed", func(led *Ledger) {
 		led.Cancelled(noon, "j")
 		led.StateReported(noon, "j", "cancelled")
 		led.StateReported(noon, "j", "running")
-	}, "told as running after cancelled"},
+	}, "reported as running after cancelled"},
 }
 
-// TestLedgerDetectsViolations feeds the ledger broken histories. Each is found, and only
-// that.
+// TestLedgerDetectsViolations replays histories, each with at most one kind of
+// violation, and checks that the ledger reports that violation and no other.
 func TestLedgerDetectsViolations(t *testing.T) {
 	for _, tst := range histories {
 		t.Run(tst.name, func(t *testing.T) {
@@ -131,9 +133,9 @@
 				assert.Equal(t, broken, "")
 				return
 			}
-			assert.Assert(t, len(led.Violations()) >= 1, "nothing was found")
-			for _, what := range led.Violations() {
-				assert.Assert(t, strings.Contains(what, tst.want) || tst.name == "before its step" && strings.Contains(what, "starts before"), "found %q", what)
+			assert.Assert(t, len(led.Violations()) >= 1, "no violation was reported")
+			for _, violation := range led.Violations() {
+				assert.Assert(t, strings.Contains(violation, tst.want) || tst.name == "run before predecessor" && strings.Contains(violation, "starts before"), "reported %q", violation)
 			}
 		})
 	}
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -16,10 +16,10 @@
 	"github.com/balsamgauge/balsamgauge/platform"
 )
 
-// gracePeriod is the platform's time from SIGTERM to SIGKILL.
+// gracePeriod is the time between SIGTERM and SIGKILL on the platform.
 const gracePeriod = 6 * time.Second
 
-// node is one process of the program, with the way to its store.
+// node is one process of the program, with the proxy to its store.
 type node struct {
 	name    string
 	binary  string
@@ -32,14 +32,16 @@
 	cmd *exec.Cmd
 	// done is closed when the process has ended.
 	done chan struct{}
-	// down says that it is stopped by a signal; harmed is until when its
-	// callers may see connections end.
-	down           bool
+	// down is set while the process is paused, or stopped for a restart.
+	down bool
+	// disruptedUntil is the time until which connections of callers to the
+	// process may end without a reply.
 	disruptedUntil time.Time
-	starts         int
+	// starts counts the starts of the process and numbers its log files.
+	starts int
 }
 
-// newNode writes the settings of a process.
+// newNode opens the proxy to the store and writes the settings file of a process.
 func newNode(name, binary, dir, store, machines string) (nod *node, err error) {
 	defer func() {
 		if err != nil {
@@ -66,7 +68,7 @@
 
 func (nod *node) settings() string { return filepath.Join(nod.dir, nod.name+".toml") }
 
-// start starts the process; its lines go to a file of their own.
+// start starts the process. Each start writes to a log file of its own.
 func (nod *node) start() (err error) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
@@ -84,7 +86,7 @@
 	done := make(chan struct{})
 	nod.cmd, nod.done = cmd, done
 	go func() {
-		// How it ended is read from the state of the process.
+		// The callers of signal read the exit status from the process state.
 		_ = cmd.Wait()
 		_ = out.Close()
 		close(done)
@@ -92,16 +94,18 @@
 	return nil
 }
 
-// signal sends a signal to the process and returns its end.
+// signal sends a signal to the process. It returns the command and a channel that
+// is closed when the process has ended.
 func (nod *node) signal(sig syscall.Signal) (cmd *exec.Cmd, done <-chan struct{}) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	// A process that has ended meanwhile is found by its end.
+	// If the process has already ended, done is closed.
 	_ = nod.cmd.Process.Signal(sig)
 	return nod.cmd, nod.done
 }
 
-// markDisrupted notes until when callers of the process may see connections end.
+// markDisrupted extends the time until which connections of callers may end
+// without a reply.
 func (nod *node) markDisrupted(until time.Time) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
@@ -110,14 +114,15 @@
 	}
 }
 
-// disruptedAt reports whether callers may see connections end at a time.
+// disruptedAt reports whether connections of callers may end without a reply at a
+// given time.
 func (nod *node) disruptedAt(now time.Time) bool {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
 	return now.Before(nod.disruptedUntil)
 }
 
-// setDown notes that the process is paused, and reports whether that changed.
+// setDown sets whether the process is down, and reports whether that changed.
 func (nod *node) setDown(down bool) bool {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
@@ -126,7 +131,8 @@
 	return changed
 }
 
-// terminate ends the process gracefully. It returns what was wrong with that.
+// terminate shuts the process down gracefully. It returns the violation if the
+// process exceeds the grace period or its exit status is not 0.
 func (nod *node) terminate() (violation string) {
 	cmd, done := nod.signal(syscall.SIGTERM)
 	select {
@@ -142,9 +148,9 @@
 	return fmt.Sprintf("process %s ended with %v after SIGTERM", nod.name, cmd.ProcessState)
 }
 
-// outputEmpty reports whether the process has not written a line. The signal may come
-// before a program that has just been started can handle signals; it has read
-// nothing then.
+// outputEmpty reports whether the process has not written a line yet. SIGTERM may
+// reach a process that was just started before it can handle signals; it has not
+// read a request then, and ending by the signal is no violation.
 func (nod *node) outputEmpty() bool {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
@@ -152,12 +158,12 @@
 	return err == nil && inf.Size() == 0
 }
 
-// outputPath is where the present process writes.
+// outputPath returns the path of the log file of the current process.
 func (nod *node) outputPath() string {
 	return filepath.Join(nod.dir, fmt.Sprintf("%s.%d.log", nod.name, nod.starts))
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits for the end of the process.
 func (nod *node) kill() {
 	_, done := nod.signal(syscall.SIGKILL)
 	<-done
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// startScript starts a program in place of balsamgauge.
+// startScript starts a shell script in place of the program.
 func startScript(t *testing.T, script string) *node {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "program")
@@ -20,8 +20,8 @@
 	return nod
 }
 
-// TestTerminate tells ends at SIGTERM apart: handled, not handled, and before the
-// program could handle anything.
+// TestTerminate checks that an exit status other than 0 and an unhandled SIGTERM
+// are violations, unless the signal arrived before the process wrote a line.
 func TestTerminate(t *testing.T) {
 	for _, tst := range []struct{ name, script, want string }{
 		{"handled", "trap 'exit 0' TERM; echo started; while :; do sleep 0.01; done", ""},
--- a/internal/soak/proxy/proxy.go
+++ b/internal/soak/proxy/proxy.go
@@ -1,4 +1,5 @@
-// Package proxy forwards TCP connections and harms them on demand.
+// Package proxy forwards TCP connections and injects faults into them: delays,
+// cuts in one or both directions, silence and resets.
 package proxy
 
 import (
@@ -9,8 +10,8 @@
 	"time"
 )
 
-// Proxy forwards TCP connections to an address, and harms them on demand. It is
-// safe for concurrent use.
+// Proxy forwards TCP connections to an address and injects faults into them. It
+// is safe for concurrent use.
 type Proxy struct {
 	lis    net.Listener
 	target string
@@ -18,20 +19,20 @@
 	mu    sync.Mutex
 	links map[*link]bool
 	delay time.Duration
-	// cutUp and cutDown hold back what goes to the target, and from it.
+	// cutUp blocks data to the target, cutDown data from it.
 	cutUp, cutDown bool
-	// cutChanged is closed and replaced when a cut changes.
+	// cutChanged is closed and replaced when cutUp or cutDown changes.
 	cutChanged chan struct{}
 }
 
 // link is one connection through the proxy.
 type link struct {
 	client, server net.Conn
-	// silent is closed when nothing passes any more.
+	// silent is closed when the connection stops forwarding for good.
 	silent chan struct{}
 }
 
-// chunkSize is how much is forwarded at a time, in bytes.
+// chunkSize is the size of the forwarding buffer, in bytes.
 const chunkSize = 16 << 10
 
 // New listens on loopback for connections to a target.
@@ -45,10 +46,10 @@
 	return pro, nil
 }
 
-// Address is where the proxy listens.
+// Address returns the address on which the proxy listens.
 func (pro *Proxy) Address() string { return pro.lis.Addr().String() }
 
-// Close ends the proxy and all connections.
+// Close stops the listener and resets all connections.
 func (pro *Proxy) Close() {
 	_ = pro.lis.Close()
 	pro.Reset()
@@ -83,13 +84,13 @@
 	pro.mu.Unlock()
 }
 
-// forward forwards one way until the connection ends.
+// forward copies data in one direction until the connection ends.
 func (pro *Proxy) forward(lin *link, from, to net.Conn, cut func() bool) {
 	buf := make([]byte, chunkSize)
 	for {
 		n, err := from.Read(buf)
 		if n > 0 && !pro.awaitForward(lin, cut) {
-			// Nothing passes any more; the ends are left to find out.
+			// A silent connection drops its data and leaves both ends open.
 			_, _ = io.Copy(io.Discard, from)
 			return
 		}
@@ -106,8 +107,8 @@
 	}
 }
 
-// awaitForward waits out delays and cuts. It reports whether the connection still
-// forwards.
+// awaitForward waits for the delay and for the end of a cut. It reports whether
+// the connection still forwards data.
 func (pro *Proxy) awaitForward(lin *link, cut func() bool) bool {
 	pro.mu.Lock()
 	delay := pro.delay
@@ -117,7 +118,7 @@
 	}
 	for {
 		pro.mu.Lock()
-		blocked, changed := cut(), pro.cutChanged
+		blocked, cutChanged := cut(), pro.cutChanged
 		pro.mu.Unlock()
 		select {
 		case <-lin.silent:
@@ -128,21 +129,22 @@
 			return true
 		}
 		select {
-		case <-changed:
+		case <-cutChanged:
 		case <-lin.silent:
 			return false
 		}
 	}
 }
 
-// SetDelay delays all that is forwarded.
+// SetDelay sets the delay of each forwarded chunk, in both directions.
 func (pro *Proxy) SetDelay(delay time.Duration) {
 	pro.mu.Lock()
 	defer pro.mu.Unlock()
 	pro.delay = delay
 }
 
-// SetCut holds back what goes to the target, or what comes from it.
+// SetCut blocks or unblocks data to the target (up) and from it (down). Blocked
+// data is delivered after the cut.
 func (pro *Proxy) SetCut(up, down bool) {
 	pro.mu.Lock()
 	defer pro.mu.Unlock()
@@ -151,7 +153,8 @@
 	pro.cutChanged = make(chan struct{})
 }
 
-// Silence makes all open connections silent for good. New ones work.
+// Silence makes all open connections drop their data for good, without closing
+// them. New connections work.
 func (pro *Proxy) Silence() {
 	pro.mu.Lock()
 	defer pro.mu.Unlock()
@@ -171,10 +174,10 @@
 	}
 }
 
-// reset closes a connection so that the other end sees a reset.
+// reset closes a connection with a TCP reset.
 func reset(con net.Conn) {
 	if tcp, ok := con.(*net.TCPConn); ok {
-		// A connection that is closed already needs no reset.
+		// An error means that the connection is already closed.
 		_ = tcp.SetLinger(0)
 	}
 	_ = con.Close()
--- a/internal/soak/proxy/proxy_test.go
+++ b/internal/soak/proxy/proxy_test.go
@@ -11,7 +11,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// startEcho answers each byte with itself.
+// startEcho starts a server that returns what it receives.
 func startEcho(t *testing.T) (address string) {
 	lis, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -35,7 +35,7 @@
 	return con
 }
 
-// echoes reports whether a byte comes back within a span.
+// echoes reports whether a byte is returned within a given time.
 func echoes(t *testing.T, con net.Conn, within time.Duration) bool {
 	_, err := con.Write([]byte{1})
 	assert.NilError(t, err)
@@ -53,7 +53,8 @@
 	silenceTime  = 150 * time.Millisecond
 )
 
-// TestCutDelaysBytes holds bytes back while a way is cut and delivers them after it.
+// TestCutDelaysBytes checks that a cut in either direction blocks data and that the
+// data is delivered after the cut.
 func TestCutDelaysBytes(t *testing.T) {
 	pro, err := New(startEcho(t))
 	assert.NilError(t, err)
@@ -70,7 +71,8 @@
 	}
 }
 
-// TestSilenceIsPermanent silences what is open; new connections work.
+// TestSilenceIsPermanent checks that Silence stops open connections for good and
+// leaves new ones working.
 func TestSilenceIsPermanent(t *testing.T) {
 	pro, err := New(startEcho(t))
 	assert.NilError(t, err)
@@ -82,7 +84,7 @@
 	assert.Assert(t, echoes(t, dial(t, pro), replyTimeout))
 }
 
-// TestReset ends open connections.
+// TestReset checks that Reset ends open connections.
 func TestReset(t *testing.T) {
 	pro, err := New(startEcho(t))
 	assert.NilError(t, err)
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -9,8 +9,9 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds. Those of nodes concern one process of ours, those of links one
-// process's connections to the store, those of VMs one VM or the way to it.
+// Kinds of faults. Node faults affect one process of the program, link faults the
+// connections of one process to the store, VM faults one VM or the connections to
+// it.
 const (
 	NodeKill       Kind = "node_kill"
 	NodeTerm       Kind = "node_term"
@@ -33,7 +34,7 @@
 	WaveRequested  Kind = "wave_asked"
 )
 
-// weights are how often each kind comes, relative to the others.
+// weights holds the relative frequency of each kind.
 var weights = []struct {
 	kind   Kind
 	weight int
@@ -47,31 +48,33 @@
 
 // Fault is one fault of a schedule.
 type Fault struct {
+	// At is the time since the start of the schedule.
 	At   time.Duration
 	Kind Kind
-	// Target is the number of the process, VM or availability zone.
+	// Target is the index of the process, VM or availability zone.
 	Target int
-	// For is how long it lasts, where it lasts.
+	// For is the duration of a fault that is reverted.
 	For time.Duration
 }
 
-// String writes the fault for a report.
+// String formats the fault for a report.
 func (fau Fault) String() string {
 	return fmt.Sprintf("%6d ms %s %d for %d ms", fau.At.Milliseconds(), fau.Kind, fau.Target, fau.For.Milliseconds())
 }
 
-// Pauses between faults and how long faults last.
+// Intervals between faults and durations of faults.
 const (
 	meanInterval = 700 * time.Millisecond
-	// repeatProbability is how often a fault strikes the same target as the one before,
-	// right after it.
+	// repeatProbability is the probability that a fault is injected again at the
+	// same target after repeatDelay.
 	repeatProbability = 0.3
 	repeatDelay       = 120 * time.Millisecond
 	minFaultTime      = 300 * time.Millisecond
 	maxFaultTime      = 4500 * time.Millisecond
 )
 
-// Schedule draws the faults of a run. The same seed draws the same ones.
+// Schedule returns the faults of a run. It is a function of its arguments: the
+// same seed gives the same faults.
 func Schedule(seed uint64, span time.Duration, nodes, vms, zones int) (faults []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	total := 0
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -14,69 +14,75 @@
 	"github.com/balsamgauge/balsamgauge/internal/standin/site"
 )
 
-// Options say what to run.
+// Options holds the parameters of a run.
 type Options struct {
 	Seed uint64
-	// For is how long faults are injected.
+	// For is the time for which jobs are submitted and faults injected.
 	For time.Duration
-	// Processes is how many processes of the program run.
+	// Processes is the number of processes of the program.
 	Processes int
-	// Machines is how many VMs the stand-in has in each of two pools.
+	// Machines is the number of VMs that the stand-in has in each of two pools.
 	Machines int
-	// Binary is the program; Dir gets settings and logs.
+	// Binary is the path of the program. Settings and logs are written to Dir.
 	Binary string
 	Dir    string
 }
 
-// Report is what a run saw.
+// Report holds the faults and the results of a run.
 type Report struct {
 	Faults []Fault
-	// Accepted counts jobs, Started runs of tasks.
+	// Accepted counts accepted jobs, Started started runs of tasks.
 	Accepted, Started int
-	// Violations lists what broke a promise.
+	// Violations lists the violated invariants.
 	Violations []string
 }
 
-// Times of a run.
+// Parameters of a run.
 const (
-	// settleTimeout is how long after the last fault all jobs must have ended.
+	// settleTimeout is the time after the last fault within which all jobs must
+	// end.
 	settleTimeout = 25 * time.Second
 	readyTimeout  = 15 * time.Second
-	// waveTimeout is how long a wave of upkeep may take; waveCap is how many
-	// machines it may take down at once.
+	// waveTimeout bounds the duration of a wave of upkeep, waveMaxDown the number
+	// of machines that it may take down at the same time.
 	waveTimeout = 20 * time.Second
 	waveMaxDown = 2
-	// vmLease is how long a VM that can't be reached runs on, at most.
+	// vmLease is the longest time for which a VM that can't be reached continues
+	// to run tasks.
 	vmLease = 4500 * time.Millisecond
-	// lastingTaskTime is longer than a run of the soak.
+	// lastingTaskTime exceeds the duration of any run, so that lasting tasks end
+	// only by cancellation.
 	lastingTaskTime = time.Hour
-	// taskFailProbability is how often a run of a task fails.
+	// taskFailProbability is the probability that a run of a task fails.
 	taskFailProbability = 0.03
 	callerCount         = 6
 )
 
-// smallCapMilliCPU is the cap of the account that has one, in thousandths of a core:
-// about one and a half times what the callers ask of it.
+// smallCapMilliCPU is the cap of the account that has one, in thousandths of a
+// core: about one and a half times what the callers request for it.
 const smallCapMilliCPU = 24_000
 
-// Run is a run of the soak.
+// Run is one run: the stand-in, the processes, the callers' ledger and the state
+// of the faults in progress.
 type Run struct {
 	opt    Options
 	ledger *ledger.Ledger
 	sit    *site.Site
 	nodes  []*node
-	// vmProxies holds the proxy of each VM.
+	// vmProxies holds the proxy in front of each VM.
 	vmProxies []*proxy.Proxy
 
 	mu      sync.Mutex
 	version int
 	keys    map[string]string
 	waves   int
-	// wrong ends of processes are recorded by those who wait for them.
+	// pending tracks the faults in progress and the restarts that follow them. Their
+	// goroutines record violations in the ledger.
 	pending sync.WaitGroup
 }
 
-// Execute plays a run. The error says that it could not be played.
+// Execute executes a run. It returns an error if the run could not be set up;
+// violated invariants are in the report.
 func Execute(ctx context.Context, opt Options) (rep Report, err error) {
 	run := &Run{opt: opt, keys: map[string]string{}, ledger: ledger.New(ledger.PlatformBounds, map[string]int64{accounts[0]: smallCapMilliCPU})}
 	defer run.close()
@@ -88,16 +94,16 @@
 	defer stopSubmitting()
 	settleCtx, stop := context.WithTimeout(ctx, opt.For+settleTimeout)
 	defer stop()
-	var callers sync.WaitGroup
+	var work sync.WaitGroup
 	for i := range callerCount {
 		cal := newCaller(run, i)
-		callers.Go(func() { cal.submitJobs(submitCtx, settleCtx) })
+		work.Go(func() { cal.work(submitCtx, settleCtx) })
 	}
 	run.injectSchedule(submitCtx, rep.Faults)
 	run.pending.Wait()
-	callers.Wait()
-	// What was cancelled last may be stopped yet, and what a fault has cut off ends
-	// with its lease.
+	work.Wait()
+	// Tasks cancelled last may still be stopping, and tasks on a VM that a fault
+	// disconnected run until its lease expires.
 	clock.Pause(ctx, ledger.PlatformBounds.Cancel+vmLease)
 	run.stopNodes()
 	if ctx.Err() == nil {
@@ -108,17 +114,19 @@
 	return rep, nil
 }
 
-// observer passes on what the VMs do, with the time.
+// observer records the events of the VMs in the ledger, with the current time.
 type observer struct{ led *ledger.Ledger }
 
 func (obs observer) Started(vm, zone, task string, run int, payload string) {
 	obs.led.Started(time.Now(), vm, zone, task, run, payload)
 }
-func (obs observer) Ended(vm, task string, _ int, how string)       { obs.led.Ended(vm, task, how) }
-func (obs observer) Acknowledged(_, task string, _ int, how string) { obs.led.Acknowledged(task, how) }
-func (obs observer) Broken(what string)                             { obs.led.AddViolation(time.Now(), what) }
+func (obs observer) Ended(vm, task string, _ int, result string) { obs.led.Ended(vm, task, result) }
+func (obs observer) Acknowledged(_, task string, _ int, result string) {
+	obs.led.Acknowledged(task, result)
+}
+func (obs observer) Broken(violation string) { obs.led.AddViolation(time.Now(), violation) }
 
-// start starts the stand-in and the processes.
+// start starts the stand-in and the processes, and waits until these are ready.
 func (run *Run) start() (err error) {
 	if err := os.MkdirAll(run.opt.Dir, 0o755); err != nil {
 		return err
@@ -133,11 +141,11 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			how := "done"
+			result := "done"
 			if rng.Float64() < taskFailProbability {
-				how = "failed"
+				result = "failed"
 			}
-			return time.Duration(float64(taskEstimate) * (0.3 + 1.5*rng.Float64())), how
+			return time.Duration(float64(taskEstimate) * (0.3 + 1.5*rng.Float64())), result
 		},
 		Expose: func(_, address string) (string, error) {
 			prx, err := proxy.New(address)
@@ -166,17 +174,18 @@
 	return run.awaitReady()
 }
 
-// pools are those of the stand-in; only the first has a queue.
+// pools returns the pools of the stand-in. Only the first has a queue.
 func (run *Run) pools() []site.Pool {
 	return []site.Pool{
 		{Name: "lots", Workers: run.opt.Machines}, {Name: "kiosk", Workers: run.opt.Machines}, {Name: "spare", Workers: 2, Standby: true},
 	}
 }
 
-// queuePrefix begins the paths of jobs.
+// queuePrefix is the path prefix of jobs.
 const queuePrefix = "/gate/"
 
-// close ends what is left.
+// close kills the processes that still run and stops the proxies and the
+// stand-in.
 func (run *Run) close() {
 	for _, nod := range run.nodes {
 		if nod.cmd != nil {
@@ -192,7 +201,7 @@
 	}
 }
 
-// stopNodes ends all processes gracefully.
+// stopNodes shuts all processes down gracefully and records the violations.
 func (run *Run) stopNodes() {
 	var stopping sync.WaitGroup
 	for _, nod := range run.nodes {
@@ -211,8 +220,8 @@
 	return run.keys[account]
 }
 
-// rotateKeys gives accounts new keys in a new configuration. The former ones are
-// withdrawn.
+// rotateKeys writes a new configuration in which the given accounts have new
+// keys. The previous keys are withdrawn.
 func (run *Run) rotateKeys(names ...string) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -241,7 +250,7 @@
 	}
 }
 
-// injectSchedule injects the faults at their times.
+// injectSchedule injects the faults at their times and returns when ctx is done.
 func (run *Run) injectSchedule(ctx context.Context, faults []Fault) {
 	start := time.Now()
 	for _, fau := range faults {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,8 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// TestScheduleIsDeterministic draws the same faults for a seed, others for
-// another one, and every kind in the long run.
+// TestScheduleIsDeterministic checks that a seed always gives the same schedule,
+// that another seed gives another one, and that a long schedule has every kind of
+// fault.
 func TestScheduleIsDeterministic(t *testing.T) {
 	draw := func(seed uint64) []Fault { return Schedule(seed, 10*time.Minute, 3, 8, 3) }
 	assert.DeepEqual(t, draw(1), draw(1))
@@ -24,16 +25,16 @@
 	assert.Equal(t, len(kinds), len(weights))
 }
 
-// TestSoak plays short runs of the real program: those that CI plays each time,
-// and each seed that ever failed.
+// TestSoak executes short runs of the real program: seed 1, and each seed that
+// has failed before.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "balsamgauge")
 	out, err := exec.Command("go", "build", "-o", binary, "../../cmd/balsamgauge").CombinedOutput()
 	assert.NilError(t, err, "%s", out)
 	for _, seed := range []uint64{
 		1,
-		// An order to a VM was held up for 3 s by a cut, in which its job was
-		// cancelled. The VM starts it late, as the platform's pages allow.
+		// A cut delays an order to a VM by 3 s, and its job is cancelled during the
+		// cut. The VM starts the run late, which the platform's specification allows.
 		1102,
 	} {
 		dir := t.TempDir()
