--- a/cmd/balsamgauge/main.go
+++ b/cmd/balsamgauge/main.go
@@ -1,4 +1,5 @@
-// Command balsamgauge runs an entry and speaks to running ones.
+// Command balsamgauge runs entries and other processes of the system, and is the
+// operators' client for running entries.
 package main
 
 import (
--- a/cmd/balsamgauge/main_test.go
+++ b/cmd/balsamgauge/main_test.go
@@ -21,13 +21,14 @@
 
 const credential = "a test's credential"
 
-// program is the built program and where its files are.
+// program is the built binary with the directory for its files.
 type program struct {
 	t    *testing.T
 	path string
 	dir  string
 }
 
+// build compiles the program.
 func build(t *testing.T) program {
 	t.Helper()
 	dir := t.TempDir()
@@ -37,7 +38,7 @@
 	return program{t: t, path: path, dir: dir}
 }
 
-// start starts a process that ends with the test.
+// start starts a process that is killed at the end of the test.
 func (prg program) start(args ...string) *exec.Cmd {
 	prg.t.Helper()
 	cmd := exec.Command(prg.path, args...)
@@ -68,7 +69,7 @@
 	return string(text), exit
 }
 
-// eventually repeats a command until it prints a text.
+// eventually repeats a command until its output contains a text.
 func (prg program) eventually(text string, args ...string) string {
 	prg.t.Helper()
 	var out string
@@ -78,10 +79,11 @@
 			return out
 		}
 	}
-	prg.t.Fatalf("%v never printed %q, at last:\n%s", args, text, out)
+	prg.t.Fatalf("output of %v does not contain %q after 20 s:\n%s", args, text, out)
 	return ""
 }
 
+// freePorts returns loopback addresses with free ports.
 func freePorts(t *testing.T, count int) []string {
 	t.Helper()
 	var addresses []string
@@ -132,7 +134,8 @@
 vms = { az-1 = 1, az-2 = 1 }
 `
 
-// call makes a caller's request and returns the status and the body.
+// call sends a request with a key and returns the status and the body of the
+// response.
 func call(t *testing.T, method, address, secret, body string) (status int, text string) {
 	t.Helper()
 	req, err := http.NewRequest(method, address, strings.NewReader(body))
@@ -147,8 +150,9 @@
 	return rsp.StatusCode, string(data)
 }
 
-// TestThreeProcesses serves both kinds of work through three entries, each a
-// process of its own, and replaces and loses some of them.
+// TestThreeProcesses sends requests and tasks through three entries in separate
+// processes, and shuts one of them down. It guards against a task that is lost
+// with the entry that accepted it, and against a withdrawn key that still works.
 func TestThreeProcesses(t *testing.T) {
 	prg := build(t)
 	write := func(name, text string) string {
@@ -189,7 +193,7 @@
 	assert.NilError(t, json.Unmarshal([]byte(text), &accepted))
 	awaitTask(t, callers[2], granted.Key, accepted.ID)
 
-	// The first entry shuts down gracefully; another one adopts its tasks.
+	// The first entry shuts down gracefully, and another one adopts its tasks.
 	assert.NilError(t, entries[0].Process.Signal(syscall.SIGTERM))
 	assert.NilError(t, entries[0].Wait())
 	prg.eventually("log_adopted", "timeline", "--admin", admins[1], "--admin", admins[2])
@@ -205,7 +209,7 @@
 	assert.Equal(t, exit, 3)
 }
 
-// awaitTask asks for a task until it is done.
+// awaitTask polls a task until it is done.
 func awaitTask(t *testing.T, address, secret, id string) {
 	t.Helper()
 	var text string
@@ -215,5 +219,5 @@
 			return
 		}
 	}
-	t.Fatalf("task %s was never done, at last: %s", id, text)
+	t.Fatalf("task %s is not done after 20 s: %s", id, text)
 }
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,8 @@
-// Package cli is the command line. It reads arguments, calls what does the
-// work, and turns errors into exit codes.
+// Package cli implements the command line: it parses arguments, runs the selected
+// subcommand and maps errors to exit codes.
+//
+// An entry is one process of the system on an entry VM; the commands that connect
+// to running entries use their admin addresses.
 package cli
 
 import (
@@ -18,50 +21,52 @@
 // Exit codes.
 const (
 	ExitOK = 0
-	// ExitFailed means that the command ran and what it did failed.
+	// ExitFailed means that the command ran and failed, or that an invariant was
+	// violated.
 	ExitFailed = 1
-	// ExitUsage means that arguments, settings or tables are wrong; nothing
+	// ExitUsage means that arguments, settings or tables are invalid. Nothing
 	// was changed.
 	ExitUsage = 2
-	// ExitUnreachable means that no entry could be asked.
+	// ExitUnreachable means that an entry could not be reached.
 	ExitUnreachable = 3
 )
 
-// Formats of the output.
+// Output formats.
 const (
 	formatText = "text"
 	formatJSON = "json"
 )
 
-// credentialVariable is the environment variable with the operators'
-// credential, so that it does not stand on the command line.
+// credentialVariable is the environment variable that holds the operators'
+// credential. It keeps the credential out of the process list.
 const credentialVariable = "BALSAMGAUGE_OPERATOR_KEY"
 
-// command is one call of the program.
+// command holds the global options and the output streams of one invocation.
 type command struct {
 	out    io.Writer
 	err    io.Writer
 	format string
-	// admins are the admin addresses of the entries to ask.
+	// admins are the admin addresses of the entries to query. A change goes to the
+	// first.
 	admins     []string
 	credential string
 }
 
-// action does the work of a subcommand.
+// action runs a subcommand.
 type action func(ctx context.Context) error
 
-// errViolation means that the command did its work and found something broken.
-var errViolation = errors.New("an invariant broke")
+// errViolation means that the command completed and found a violated invariant.
+var errViolation = errors.New("an invariant was violated")
 
 // Main runs the program and returns its exit code.
 func Main(args []string, out, errOut io.Writer) int {
 	cmd := &command{out: out, err: errOut}
-	app := kingpin.New("balsamgauge", "Fleet capacity and maintenance manager. Exit codes: 0 done, 1 failed, 2 wrong arguments or files (nothing changed), 3 no entry reachable.")
+	app := kingpin.New("balsamgauge", "Fleet capacity and maintenance manager. Exit codes: 0 done, 1 failed, 2 invalid arguments or files (nothing changed), 3 entry unreachable.")
 	app.UsageWriter(out)
 	app.ErrorWriter(errOut)
 	exit := -1
 	app.Terminate(func(code int) { exit = code })
-	app.Flag("format", "Output for a person or a program.").Default(formatText).EnumVar(&cmd.format, formatText, formatJSON)
+	app.Flag("format", "Output format: text for people, json for programs.").Default(formatText).EnumVar(&cmd.format, formatText, formatJSON)
 	actions := map[string]action{}
 	cmd.addLocal(app, actions)
 	cmd.addManage(app, actions)
@@ -82,6 +87,7 @@
 	return cmd.exitCode(actions[selected](ctx))
 }
 
+// exitCode prints an error and returns the exit code for it.
 func (cmd *command) exitCode(err error) int {
 	if err == nil {
 		return ExitOK
@@ -104,7 +110,7 @@
 	}
 }
 
-// usageError means that what the caller gave can't be used.
+// usageError is an error in the arguments or files that the user passed.
 type usageError struct{ err error }
 
 // Error returns the message.
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -9,7 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// runDemo runs the demonstration through the command line.
+// runDemo runs the demo command and decodes its report.
 func runDemo(t *testing.T, args ...string) (exit int, rep demo.Report) {
 	t.Helper()
 	var out, errOut bytes.Buffer
@@ -37,9 +37,9 @@
 	}
 	assert.Equal(t, exit, ExitOK)
 	assert.Assert(t, rep.Answered > 0)
-	// A task that may not be repeated ends as unknown when its entry is lost
-	// between the record of its start and the start itself. So not every task
-	// need be done; accepted_task_is_never_lost has checked that each has ended.
+	// A task that is not repeatable ends as unknown if its entry is lost after the
+	// start was recorded and before the task started. So not every task is done;
+	// accepted_task_is_never_lost checks that each has ended.
 	assert.Assert(t, rep.TasksDone > rep.Tasks*9/10, "%d of %d", rep.TasksDone, rep.Tasks)
 }
 
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -10,9 +10,9 @@
 	"github.com/balsamgauge/balsamgauge/internal/explain"
 )
 
-// addExplain adds the command that follows a job through logs.
+// addExplain adds the command that traces a job, a task or a VM through log files.
 func (cmd *command) addExplain(app *kingpin.Application, actions map[string]action) {
-	clause := app.Command("explain", "Follow a job, a task or a VM through the logs of all processes.")
+	clause := app.Command("explain", "Trace a job, a task or a VM through the logs of all processes.")
 	id := clause.Arg("id", "ID of a job, name of a task, or ID of a VM.").Required().String()
 	paths := clause.Arg("log", "Log files.").Required().ExistingFiles()
 	actions[clause.FullCommand()] = func(context.Context) error { return cmd.explain(*id, *paths) }
@@ -26,12 +26,12 @@
 			return err
 		}
 		if unparsed > 0 {
-			_, _ = fmt.Fprintf(cmd.err, "%s: %d lines that name %s are not log lines\n", path, unparsed, id)
+			_, _ = fmt.Fprintf(cmd.err, "%s: skipped %d lines that mention %s but are not log lines\n", path, unparsed, id)
 		}
 		lines = append(lines, found...)
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("no line names %s: it came to none of these processes, or its lines were left out under load", id)
+		return fmt.Errorf("no log line mentions %s: none of these processes received it, or its lines were dropped under load", id)
 	}
 	explain.Sort(lines)
 	for _, lin := range lines {
@@ -43,6 +43,8 @@
 	return err
 }
 
+// collect returns the lines of a log file that mention an ID, and the number of
+// lines that mention it but could not be parsed.
 func collect(path, id string) (lines []explain.Line, unparsed int, err error) {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/cli/local.go
+++ b/internal/cli/local.go
@@ -14,32 +14,32 @@
 	"github.com/sirupsen/logrus"
 )
 
-// addLocal adds the commands that ask no running entry.
+// addLocal adds the commands that need no running entry.
 func (cmd *command) addLocal(app *kingpin.Application, actions map[string]action) {
 	serve := app.Command("serve", "Run an entry. SIGTERM shuts it down gracefully.")
 	settingsPath := serve.Flag("settings", "Settings file.").Required().String()
 	actions[serve.FullCommand()] = func(ctx context.Context) error { return cmd.serve(ctx, *settingsPath) }
 
-	check := app.Command("check", "Check both tables and list every error with its position.")
+	check := app.Command("check", "Check the tables of routes and pools and list every error with its position.")
 	routes, pools := tableFlags(check)
 	actions[check.FullCommand()] = func(context.Context) error { return cmd.check(*routes, *pools) }
 
-	demonstrate := app.Command("demo", "Run entries and stand-ins on loopback and check the invariants. Exits with 1 if one broke.")
-	double := demonstrate.Flag("double-runs", "Let the stand-ins run everything twice, to see the checks fail.").Hidden().Bool()
-	brief := demonstrate.Flag("brief", "Play the first scene only.").Bool()
+	demonstrate := app.Command("demo", "Run entries and stand-ins on loopback and check the invariants. Exits with 1 if one was violated.")
+	double := demonstrate.Flag("double-runs", "Let the stand-ins run all work twice, to demonstrate that the checks fail.").Hidden().Bool()
+	brief := demonstrate.Flag("brief", "Run only the first scene.").Bool()
 	actions[demonstrate.FullCommand()] = func(ctx context.Context) error {
 		return cmd.demo(ctx, demo.Options{DoubleRuns: *double, Brief: *brief})
 	}
 }
 
-// addStandin adds the command that runs the stand-ins, for trying out entries
-// as processes of their own.
+// addStandin adds the command that runs the stand-ins, against which entries can
+// be run as separate processes.
 func (cmd *command) addStandin(app *kingpin.Application, actions map[string]action) {
 	clause := app.Command("standin", "Run stand-ins for the store, the platform and every VM of a table of pools, on loopback, until interrupted.")
 	pools := clause.Flag("pools", "Table of pools.").Default("pools.toml").String()
-	storeAddress := clause.Flag("store", "Address of the store.").Default("127.0.0.1:2379").String()
-	listAddress := clause.Flag("vm-list", "Address of the list of VMs.").Default("127.0.0.1:2381").String()
-	lag := clause.Flag("lag", "How late the list tells of a change.").Default("2s").Duration()
+	storeAddress := clause.Flag("store", "Listen address of the store.").Default("127.0.0.1:2379").String()
+	listAddress := clause.Flag("vm-list", "Listen address of the list of VMs.").Default("127.0.0.1:2381").String()
+	lag := clause.Flag("lag", "Delay until the list reports a change.").Default("2s").Duration()
 	actions[clause.FullCommand()] = func(ctx context.Context) error {
 		text, err := os.ReadFile(*pools)
 		if err != nil {
@@ -69,13 +69,14 @@
 	return nil
 }
 
+// tableFlags adds the flags for the paths of both tables.
 func tableFlags(clause *kingpin.CmdClause) (routes, pools *string) {
 	routes = clause.Flag("routes", "Table of routes.").Default("routes.toml").String()
 	pools = clause.Flag("pools", "Table of pools.").Default("pools.toml").String()
 	return routes, pools
 }
 
-// serve runs an entry until it is told to shut down.
+// serve runs an entry until the context is done, then shuts it down gracefully.
 func (cmd *command) serve(ctx context.Context, path string) error {
 	set, err := settings.Load(path)
 	if err != nil {
@@ -118,7 +119,7 @@
 		return err
 	}
 	return cmd.print(tbs, func() string {
-		return fmt.Sprintf("%d teams, %d routes and %d pools are fine.", len(tbs.Teams), len(tbs.Routes), len(tbs.Pools))
+		return fmt.Sprintf("%d teams, %d routes and %d pools are valid.", len(tbs.Teams), len(tbs.Routes), len(tbs.Pools))
 	})
 }
 
--- a/internal/cli/remote.go
+++ b/internal/cli/remote.go
@@ -16,13 +16,13 @@
 	"github.com/balsamgauge/balsamgauge/pkg/table"
 )
 
-// defaultAdmin is the admin address that the examples use.
+// defaultAdmin is the admin address of the first entry in the examples.
 const defaultAdmin = "127.0.0.1:8301"
 
-// addRemote adds the commands that ask running entries.
+// addRemote adds the commands that connect to running entries.
 func (cmd *command) addRemote(app *kingpin.Application, actions map[string]action) {
 	var add registrar = func(clause *kingpin.CmdClause, act action) {
-		clause.Flag("admin", "Admin address of an entry; more than one may be given.").Default(defaultAdmin).StringsVar(&cmd.admins)
+		clause.Flag("admin", "Admin address of an entry; may be repeated.").Default(defaultAdmin).StringsVar(&cmd.admins)
 		clause.Flag("operator-key", "The operators' credential.").Envar(credentialVariable).StringVar(&cmd.credential)
 		actions[clause.FullCommand()] = act
 	}
@@ -30,12 +30,12 @@
 	diffRoutes, diffPools := tableFlags(diff)
 	add(diff, func(ctx context.Context) error { return cmd.diff(ctx, *diffRoutes, *diffPools) })
 
-	apply := app.Command("apply", "Put the tables in force.")
+	apply := app.Command("apply", "Apply the tables.")
 	applyRoutes, applyPools := tableFlags(apply)
-	base := apply.Flag("base", "Revision that the tables were made from; refused if they changed since. 0 means any.").Int64()
+	base := apply.Flag("base", "Revision on which the tables are based; refused if they were changed since. 0 means any.").Int64()
 	add(apply, func(ctx context.Context) error { return cmd.apply(ctx, *applyRoutes, *applyPools, *base) })
 
-	add(app.Command("get", "Print the tables in force, as TOML or JSON."), cmd.get)
+	add(app.Command("get", "Print the current tables, as TOML or JSON."), cmd.get)
 
 	grant := app.Command("grant", "Grant a key to a team. The key is shown once.")
 	grantName := grant.Arg("name", "Name of the key.").Required().String()
@@ -52,27 +52,29 @@
 
 	zone := app.Command("zone", "Take an availability zone out, or back in.")
 	cmd.addZone(add, zone, "out", "Take an availability zone out.", true)
-	cmd.addZone(add, zone, "in", "Let an availability zone back in.", false)
+	cmd.addZone(add, zone, "in", "Take an availability zone back in.", false)
 
-	forget := app.Command("forget", "Vouch that a voting member certainly runs no more, so that the others can go on without its vote.")
-	member := forget.Arg("member", "ID of the member, as status shows it.").Required().String()
+	forget := app.Command("forget", "Declare that a voting member is guaranteed not to run any more, so that the others can continue without its vote.")
+	member := forget.Arg("member", "ID of the member, as printed by status.").Required().String()
 	add(forget, func(ctx context.Context) error {
 		if _, err := cmd.entry().Forget(ctx, *member); err != nil {
 			return err
 		}
-		_, err := fmt.Fprintf(cmd.out, "%s counts for no majority any more and will be removed.\n", *member)
+		_, err := fmt.Fprintf(cmd.out, "%s no longer counts towards any majority and will be removed.\n", *member)
 		return err
 	})
 
-	add(app.Command("status", "Show how each entry asked sees the fleet."), cmd.status)
+	add(app.Command("status", "Show the state of the fleet as each given entry sees it."), cmd.status)
 
-	timelineClause := app.Command("timeline", "Merge the latest events of all entries asked.")
+	timelineClause := app.Command("timeline", "Merge the latest events of all given entries into one time line.")
 	add(timelineClause, cmd.timeline)
 }
 
-// registrar registers a command that asks entries.
+// registrar registers a command that connects to entries, with the flags that
+// all these commands share.
 type registrar func(clause *kingpin.CmdClause, act action)
 
+// addZone adds a subcommand that takes an availability zone out or back in.
 func (cmd *command) addZone(add registrar, zone *kingpin.CmdClause, name, help string, out bool) {
 	clause := zone.Command(name, help)
 	az := clause.Arg("az", "Availability zone.").Required().String()
@@ -81,11 +83,12 @@
 	})
 }
 
-// entry returns a client for the first entry asked.
+// entry returns a client for the first of the given entries.
 func (cmd *command) entry() *adminclient.Client {
 	return adminclient.New(cmd.admins[0], cmd.credential)
 }
 
+// change requests a change from the first entry and prints its response.
 func (cmd *command) change(request func(*adminclient.Client) (runner.ChangeResponse, error)) error {
 	rsp, err := request(cmd.entry())
 	if err != nil {
@@ -94,7 +97,7 @@
 	return cmd.print(rsp, func() string {
 		text := fmt.Sprintf("Accepted as revision %d.", rsp.Revision)
 		if rsp.Key != "" {
-			text += "\nThe key, shown only now: " + rsp.Key
+			text += "\nKey (not shown again): " + rsp.Key
 		}
 		return text
 	})
@@ -148,7 +151,7 @@
 	if err != nil {
 		return err
 	}
-	_, err = fmt.Fprintf(cmd.out, "# Revision %d. The table of routes:\n%s\n# The table of pools:\n%s", cfg.Revision, routes, pools)
+	_, err = fmt.Fprintf(cmd.out, "# Revision %d. Table of routes:\n%s\n# Table of pools:\n%s", cfg.Revision, routes, pools)
 	return err
 }
 
@@ -205,7 +208,7 @@
 	return timeline.WriteText(cmd.out, evts)
 }
 
-// print writes a value as JSON, or the text for a person.
+// print writes val as JSON, or text in the text format.
 func (cmd *command) print(val any, text func() string) error {
 	if cmd.format == formatJSON {
 		return cmd.printJSON(val)
--- a/internal/cli/soak.go
+++ b/internal/cli/soak.go
@@ -10,15 +10,15 @@
 	"github.com/balsamgauge/balsamgauge/internal/soak"
 )
 
-// addSoak adds the command that runs the program under faults.
+// addSoak adds the command that runs the program under fault injection.
 func (cmd *command) addSoak(app *kingpin.Application, actions map[string]action) {
-	clause := app.Command("soak", "Run processes of the program against the stand-in of the platform and inject faults. Exits with 1 if a promise broke.")
+	clause := app.Command("soak", "Run processes of the program against the stand-in of the platform and inject faults. Exits with 1 if an invariant was violated.")
 	opt := soak.Options{}
-	clause.Flag("seed", "Seed of the first run; it decides the schedule of faults.").Default("1").Uint64Var(&opt.Seed)
-	runs := clause.Flag("runs", "How many runs, with seeds that follow each other.").Default("1").Int()
-	clause.Flag("for", "How long faults are injected in a run.").Default("20s").DurationVar(&opt.For)
-	clause.Flag("processes", "How many processes of the program run.").Default("3").IntVar(&opt.Processes)
-	clause.Flag("machines", "How many VMs the stand-in has in each of two pools.").Default("4").IntVar(&opt.Machines)
+	clause.Flag("seed", "Seed of the first run; it determines the schedule of faults.").Default("1").Uint64Var(&opt.Seed)
+	runs := clause.Flag("runs", "Number of runs, with consecutive seeds.").Default("1").Int()
+	clause.Flag("for", "Time for which faults are injected in a run.").Default("20s").DurationVar(&opt.For)
+	clause.Flag("processes", "Number of processes of the program.").Default("3").IntVar(&opt.Processes)
+	clause.Flag("machines", "Number of VMs that the stand-in has in each of two pools.").Default("4").IntVar(&opt.Machines)
 	dir := clause.Flag("dir", "Directory for settings and logs.").Default(filepath.Join(os.TempDir(), "balsamgauge-soak")).String()
 	actions[clause.FullCommand()] = func(ctx context.Context) error { return cmd.soak(ctx, opt, *runs, *dir) }
 }
@@ -53,7 +53,7 @@
 }
 
 func (cmd *command) printSoak(opt soak.Options, rep soak.Report) (err error) {
-	_, err = fmt.Fprintf(cmd.out, "seed %d: %d faults, %d jobs accepted, %d runs of tasks, %d promises broken\n", opt.Seed, len(rep.Faults), rep.Accepted, rep.Started, len(rep.Violations))
+	_, err = fmt.Fprintf(cmd.out, "seed %d: %d faults, %d jobs accepted, %d runs of tasks, %d invariants violated\n", opt.Seed, len(rep.Faults), rep.Accepted, rep.Started, len(rep.Violations))
 	if err != nil || len(rep.Violations) == 0 {
 		return err
 	}
@@ -63,7 +63,7 @@
 		}
 	}
 	for _, violation := range rep.Violations {
-		if _, err := fmt.Fprintln(cmd.out, "  BROKEN", violation); err != nil {
+		if _, err := fmt.Fprintln(cmd.out, "  VIOLATION", violation); err != nil {
 			return err
 		}
 	}
