--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,4 +1,7 @@
-// Package explain follows one job or VM through the logs of all processes.
+// Package explain traces one job, task or VM through the logs of all processes.
+//
+// A process here is a process of the system, and a VM one incarnation of a
+// machine that runs tasks.
 package explain
 
 import (
@@ -14,8 +17,8 @@
 	"time"
 )
 
-// Line is a line of a log that names what is asked for. Fields holds all of it
-// but the time, the event and the process.
+// Line is a log line. Fields holds its fields except the time, the event, the
+// process and the level.
 type Line struct {
 	At      time.Time
 	Event   string
@@ -23,11 +26,12 @@
 	Fields  map[string]any
 }
 
-// maxLineBytes bounds a line of a log in bytes.
+// maxLineBytes bounds the length of a log line.
 const maxLineBytes = 1 << 20
 
-// Collect reads a log and returns the lines that name an ID: a job, a task of it,
-// or a VM. Lines that are not JSON are passed over and counted.
+// Collect returns the lines of a log that mention an ID of a job, a task or a VM.
+// Lines that mention the ID but are not valid log lines are skipped and counted in
+// unparsed.
 func Collect(log io.Reader, id string) (lines []Line, unparsed int, err error) {
 	scn := bufio.NewScanner(log)
 	scn.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
@@ -36,7 +40,7 @@
 		if !strings.Contains(text, id) {
 			continue
 		}
-		// Lines of some collectors begin with a time and the name of the VM.
+		// Some log collectors prefix lines with a time and the name of the VM.
 		at := strings.IndexByte(text, '{')
 		if at < 0 {
 			unparsed++
@@ -55,6 +59,7 @@
 	return lines, unparsed, nil
 }
 
+// parse decodes a JSON log line. It must have a time and an event.
 func parse(raw []byte) (lin Line, ok bool) {
 	fields := map[string]any{}
 	if json.Unmarshal(raw, &fields) != nil {
@@ -74,12 +79,12 @@
 	return lin, lin.Event != ""
 }
 
-// Sort orders lines of several logs by their time.
+// Sort sorts the lines of several logs by time, then by process.
 func Sort(lines []Line) {
 	slices.SortStableFunc(lines, func(one, oth Line) int { return cmp.Or(one.At.Compare(oth.At), cmp.Compare(one.Process, oth.Process)) })
 }
 
-// String writes the line with its fields in the order of their names.
+// String formats the line, with its fields sorted by name.
 func (lin Line) String() string {
 	var out strings.Builder
 	fmt.Fprintf(&out, "%s %-24s %s", lin.At.UTC().Format("15:04:05.000"), lin.Process, lin.Event)
@@ -99,15 +104,15 @@
 	return out.String()
 }
 
-// Summary says in a sentence what the lines show of a job.
+// Summary describes in a sentence the outcome of a job that the lines report.
 func Summary(lines []Line) string {
-	verdict := "No line tells how it ended."
+	verdict := "No log line reports how it ended."
 	for _, lin := range lines {
 		switch {
 		case lin.Event == "job_ended":
 			verdict = fmt.Sprintf("It ended as %v %v ms after it was accepted, %s.", lin.Fields["state"], number(lin.Fields["age_ms"]), lateness(lin.Fields["late_ms"]))
 		case lin.Event == "call" && lin.Fields["method"] == "POST" && lin.Fields["verdict"] == "ok":
-			verdict = fmt.Sprintf("It was accepted by %s; no line tells how it ended.", lin.Process)
+			verdict = fmt.Sprintf("It was accepted by %s; no log line reports how it ended.", lin.Process)
 		case lin.Event == "call" && lin.Fields["method"] == "POST":
 			verdict = fmt.Sprintf("The last submission was answered %v by %s: %v.", lin.Fields["verdict"], lin.Process, lin.Fields["reason"])
 		}
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -10,8 +10,9 @@
 	"gotest.tools/v3/golden"
 )
 
-// TestCollectFollowsJob follows a job through the logs of three processes of a played day: it
-// was handed in at one, taken over by another, and ended late.
+// TestCollectFollowsJob traces a job through the logs of three processes: one
+// receives the submission, another dispatches the job, and it ends after its
+// target.
 func TestCollectFollowsJob(t *testing.T) {
 	const id = "b41755ab3606abc5"
 	var lines []Line
