--- a/internal/timeline/clock.go
+++ b/internal/timeline/clock.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// Stamp is a time of a hybrid logical clock: milliseconds since 1970 in the
+// Stamp is a timestamp of a hybrid logical clock: milliseconds since 1970 in the
 // upper 48 bits, and a counter in the lower 16.
 type Stamp uint64
 
 // counterBits is the width of a stamp's counter.
 const counterBits = 16
 
-// maxAhead bounds how far a peer's stamp may be ahead of the wall clock. One
-// that is further ahead is not followed, so that a wrong clock does not spread.
+// maxAhead bounds how far a peer's stamp may be ahead of the wall clock. Stamps
+// further ahead are ignored, so that one wrong clock does not advance the others.
 const maxAhead = time.Minute
 
 // Time returns the wall-clock part of a stamp.
@@ -21,13 +21,13 @@
 	return time.UnixMilli(int64(stm >> counterBits))
 }
 
-// Clock gives stamps that only go up. It is safe for concurrent use.
+// Clock issues strictly increasing stamps. It is safe for concurrent use.
 type Clock struct {
 	mu   sync.Mutex
 	last Stamp
 }
 
-// Now returns a stamp for something that happens at a given time.
+// Now returns a new stamp for an event at a given wall-clock time.
 func (clk *Clock) Now(now time.Time) Stamp {
 	clk.mu.Lock()
 	defer clk.mu.Unlock()
@@ -35,7 +35,7 @@
 	return clk.last
 }
 
-// Observe moves the clock past a stamp that came with a message.
+// Observe advances the clock to a stamp received with a message.
 func (clk *Clock) Observe(now time.Time, stm Stamp) {
 	clk.mu.Lock()
 	defer clk.mu.Unlock()
@@ -44,6 +44,7 @@
 	}
 }
 
+// wallStamp returns the lowest stamp of a wall-clock time.
 func wallStamp(now time.Time) Stamp {
 	return Stamp(now.UnixMilli()) << counterBits
 }
--- a/internal/timeline/format.go
+++ b/internal/timeline/format.go
@@ -6,10 +6,10 @@
 	"io"
 )
 
-// stampLayout shows a stamp's wall-clock part.
+// stampLayout is the layout of a stamp's wall-clock part.
 const stampLayout = "15:04:05.000"
 
-// WriteText writes a line for each event.
+// WriteText writes each event as a line of text.
 func WriteText(out io.Writer, evts []Event) (err error) {
 	for _, evt := range evts {
 		if err := writeLine(out, evt); err != nil {
@@ -31,7 +31,7 @@
 	return err
 }
 
-// WriteJSON writes a line of JSON for each event.
+// WriteJSON writes each event as a line of JSON.
 func WriteJSON(out io.Writer, evts []Event) (err error) {
 	enc := json.NewEncoder(out)
 	for _, evt := range evts {
--- a/internal/timeline/ring.go
+++ b/internal/timeline/ring.go
@@ -6,32 +6,35 @@
 	"sync"
 )
 
-// Event is one thing that happened in a process.
+// Event is a recorded event of a process.
 type Event struct {
 	Stamp Stamp `json:"stamp"`
-	// Entry is the process; stamps of one entry are unique.
-	Entry   string `json:"entry"`
+	// Entry is the ID of the process. Stamps of one entry are unique.
+	Entry string `json:"entry"`
+	// Part is the component of the process that recorded the event.
 	Part    string `json:"part"`
 	Name    string `json:"name"`
 	Subject string `json:"subject,omitempty"`
 	Detail  string `json:"detail,omitempty"`
 }
 
-// Ring holds the latest events of a process. It is safe for concurrent use.
+// Ring is a ring buffer of the latest events of a process. It is safe for
+// concurrent use.
 type Ring struct {
 	mu sync.Mutex
-	// events holds at most size events; next is where the next one goes.
+	// events holds at most size events. When it is full, next is the index of the
+	// oldest, which is overwritten next.
 	events []Event
 	size   int
 	next   int
 }
 
-// NewRing returns a ring that holds a number of events.
+// NewRing returns a ring that holds up to size events.
 func NewRing(size int) *Ring {
 	return &Ring{size: size}
 }
 
-// Add adds an event and drops the oldest when the ring is full.
+// Add adds an event. It overwrites the oldest one when the ring is full.
 func (rng *Ring) Add(evt Event) {
 	rng.mu.Lock()
 	defer rng.mu.Unlock()
@@ -43,7 +46,7 @@
 	rng.next = (rng.next + 1) % rng.size
 }
 
-// Events returns the events in the order of their stamps.
+// Events returns the events sorted by stamp.
 func (rng *Ring) Events() []Event {
 	rng.mu.Lock()
 	defer rng.mu.Unlock()
@@ -51,8 +54,8 @@
 	return Merge(evts)
 }
 
-// Merge returns the events of several processes in one order: by stamp, then
-// by entry. An event that stands in several lists is kept once.
+// Merge returns the events of several processes sorted by stamp, then by entry.
+// Duplicates are removed.
 func Merge(lists ...[]Event) []Event {
 	var all []Event
 	for _, list := range lists {
--- a/internal/timeline/timeline_test.go
+++ b/internal/timeline/timeline_test.go
@@ -10,18 +10,20 @@
 
 var noon = time.Date(2026, 12, 4, 12, 0, 0, 0, time.UTC)
 
-// TestOrderAcrossSkewedClocks lets a process whose clock is 30 s behind hear from
-// another one: what it does then stands after what it heard of.
+// TestOrderAcrossSkewedClocks checks that an event of a process whose clock is
+// 30 s behind is ordered after the event of another process that caused it.
 func TestOrderAcrossSkewedClocks(t *testing.T) {
 	var ahead, behind timeline.Clock
 	cause := timeline.Event{Stamp: ahead.Now(noon), Entry: "z", Name: "sent"}
 	early := timeline.Event{Stamp: behind.Now(noon.Add(-30 * time.Second)), Entry: "a", Name: "before"}
 	behind.Observe(noon.Add(-30*time.Second), cause.Stamp)
-	effect := timeline.Event{Stamp: behind.Now(noon.Add(-29 * time.Second)), Entry: "a", Name: "heard"}
+	effect := timeline.Event{Stamp: behind.Now(noon.Add(-29 * time.Second)), Entry: "a", Name: "received"}
 	merged := timeline.Merge([]timeline.Event{cause}, []timeline.Event{early, effect})
 	assert.DeepEqual(t, merged, []timeline.Event{early, cause, effect})
 }
 
+// TestFarAheadStampIsIgnored checks that a stamp far ahead of the wall clock does
+// not advance the clock.
 func TestFarAheadStampIsIgnored(t *testing.T) {
 	var clk timeline.Clock
 	clk.Observe(noon, timeline.Stamp(noon.Add(time.Hour).UnixMilli())<<16)
