--- a/internal/core/scheduler/advice.go
+++ b/internal/core/scheduler/advice.go
@@ -9,44 +9,49 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/priority"
 )
 
-// Bounds of questions to the advisor.
+// Limits of queries to the advisor.
 const (
-	// adviceRetry is the time between two questions about a step.
-	adviceRetry = 300 * time.Millisecond
-	// maxAdvised is how many VMs a question names. The advisor takes time for
-	// each; the users count a question about 30 towards a job's objective.
-	maxAdvised = 30
-	// ticketSlack is how much sooner a ticket counts as expired, for the time that
-	// an order is under way.
+	// queryInterval is the minimum time between two queries about a step.
+	queryInterval = 300 * time.Millisecond
+	// maxQueryVMs is the maximum number of VMs in a query. The advisor takes
+	// time for each of them, and the users allow for a query of about 30 VMs in
+	// a job's latency objective.
+	maxQueryVMs = 30
+	// ticketSlack is how long before its expiry a ticket is no longer used, to
+	// cover the transit time of an order.
 	ticketSlack = 100 * time.Millisecond
 )
 
-// advice is what the advisor said of a stage.
+// advice holds the advisor's answers about a stage.
 type advice struct {
-	// busy says that an answer is awaited; askedAt is when it was last asked.
-	busy    bool
-	askedAt time.Time
-	// tickets holds, by VM, where the step may run; denied holds the VMs where it
-	// may not, which doesn't change.
+	// inFlight reports whether a query is unanswered; queriedAt is when the last
+	// one was sent.
+	inFlight  bool
+	queriedAt time.Time
+	// tickets holds the permissions to run the step, by VM. denied holds the VMs
+	// on which the step may not run, which does not change.
 	tickets map[string]ticket
 	denied  map[string]bool
 }
 
+// ticket permits the start of a step's tasks on a VM until a given time.
 type ticket struct {
-	text  string
+	token string
 	until time.Time
 }
 
-// valid returns the ticket for a VM, or nothing if there is none that holds.
-func (adv *advice) valid(vm string, now time.Time) string {
+// ticketFor returns the token of the valid ticket for a VM, or an empty string
+// without one.
+func (adv *advice) ticketFor(vm string, now time.Time) string {
 	tic, ok := adv.tickets[vm]
 	if !ok || !now.Before(tic.until.Add(-ticketSlack)) {
 		return ""
 	}
-	return tic.text
+	return tic.token
 }
 
-// adviceFor returns how a queue's steps are advised on; nil if they aren't.
+// adviceFor returns the advice settings of a queue, or nil if its steps need
+// no advice.
 func (sta *State) adviceFor(queue string) *catalog.Advice {
 	if que := sta.catalog.Queue(queue); que != nil {
 		return que.Advice
@@ -54,18 +59,19 @@
 	return nil
 }
 
-// adviceTime returns how long the advisor takes for a step of a queue.
-func (sta *State) adviceTime(queue string) time.Duration {
+// advisorLatency returns the time that the advisor takes for the longest query
+// about a step of a queue; 0 if its steps need no advice.
+func (sta *State) advisorLatency(queue string) time.Duration {
 	adv := sta.adviceFor(queue)
 	if adv == nil {
 		return 0
 	}
-	return adv.Decision + maxAdvised*adv.PerVM
+	return adv.Decision + maxQueryVMs*adv.PerVM
 }
 
-// isNext reports whether a stage waits only for tasks that are all running or
-// done, so that it is asked about in time.
-func (stg *stage) isNext() bool {
+// prerequisitesStarted reports whether all tasks that a stage depends on are
+// running or done. Its advice is then queried in advance.
+func (stg *stage) prerequisitesStarted() bool {
 	occ := stg.liveJob.occs[stg.occ]
 	for _, dep := range stg.step.After {
 		if occ.stages[dep].waiting > 0 || occ.stages[dep].blockers > 0 {
@@ -75,18 +81,18 @@
 	return true
 }
 
-// wantAdvice notes a stage that needs advice on more VMs. The questions are put
-// in the order of priority, as far as askers are free.
-func (sta *State) wantAdvice(stg *stage, hosts []*host) {
+// enqueueAdvisorQuery queues a query for a stage that needs advice on more
+// VMs. sendAdvisorQueries sends the queries in order of priority.
+func (sta *State) enqueueAdvisorQuery(stg *stage, hosts []*host) {
 	adv := &stg.advice
-	if sta.adviceFor(stg.liveJob.spec.Queue) == nil || adv.busy || sta.now.Sub(adv.askedAt) < adviceRetry {
+	if sta.adviceFor(stg.liveJob.spec.Queue) == nil || adv.inFlight || sta.now.Sub(adv.queriedAt) < queryInterval {
 		return
 	}
 	reservation := stg.step.Reservation()
 	var first, later []string
 	for _, hos := range hosts {
 		switch {
-		case adv.denied[hos.vm.ID] || adv.valid(hos.vm.ID, sta.now) != "":
+		case adv.denied[hos.vm.ID] || adv.ticketFor(hos.vm.ID, sta.now) != "":
 		case stg.step.Label != "" && !hos.vm.HasLabel(stg.step.Label):
 		case reservation.Fits(hos.vm.Capacity.Minus(hos.used)):
 			first = append(first, hos.vm.ID)
@@ -99,21 +105,22 @@
 		return
 	}
 	sta.advisorQueue = append(sta.advisorQueue, advisorQuery{
-		priorityKey: sta.priorityKey(stg), stage: stg, vms: vms[:min(len(vms), maxAdvised)], early: len(first) == 0 || stg.blockers > 0,
+		priorityKey: sta.priorityKey(stg), stage: stg, vms: vms[:min(len(vms), maxQueryVMs)], prefetch: len(first) == 0 || stg.blockers > 0,
 	})
 }
 
-// advisorQuery is one that is to be put to the advisor.
+// advisorQuery is a query that has not been sent.
 type advisorQuery struct {
 	priorityKey priority.Key
 	stage       *stage
 	vms         []string
-	// early says that no task of the stage could start yet, for want of room or
-	// because other steps come first.
-	early bool
+	// prefetch reports whether no task of the stage could start yet, for lack of
+	// capacity or because of unfinished dependencies.
+	prefetch bool
 }
 
-// boolOrder orders true after false.
+// boolOrder compares a value to one that differs from it: true sorts after
+// false.
 func boolOrder(late bool) int {
 	if late {
 		return 1
@@ -121,37 +128,37 @@
 	return -1
 }
 
-// ask puts as many of the noted questions as there are free askers. Early ones
-// leave half of the askers to those that are urgent.
-func (sta *State) ask() {
+// sendAdvisorQueries sends as many queued queries as there are free slots.
+// Half of the slots are reserved for queries that are not prefetches.
+func (sta *State) sendAdvisorQueries() {
 	slices.SortStableFunc(sta.advisorQueue, func(one, oth advisorQuery) int {
-		if one.early != oth.early {
-			return boolOrder(one.early)
+		if one.prefetch != oth.prefetch {
+			return boolOrder(one.prefetch)
 		}
 		return priority.Compare(sta.now, one.priorityKey, oth.priorityKey)
 	})
-	for _, que := range sta.advisorQueue {
-		if sta.advisorInFlight >= sta.advisorSlots || que.early && sta.advisorInFlight >= (sta.advisorSlots+1)/2 {
+	for _, qry := range sta.advisorQueue {
+		if sta.advisorInFlight >= sta.advisorSlots || qry.prefetch && sta.advisorInFlight >= (sta.advisorSlots+1)/2 {
 			break
 		}
 		sta.advisorInFlight++
-		adv := &que.stage.advice
-		adv.busy, adv.askedAt = true, sta.now
-		liv := que.stage.liveJob
-		sta.emit(QueryAdvisor{Job: liv.spec.ID, Occurrence: que.stage.occ, Step: que.stage.index, VMs: que.vms, Latency: sta.adviceTime(liv.spec.Queue)})
+		adv := &qry.stage.advice
+		adv.inFlight, adv.queriedAt = true, sta.now
+		liv := qry.stage.liveJob
+		sta.emit(QueryAdvisor{Job: liv.spec.ID, Occurrence: qry.stage.occ, Step: qry.stage.index, VMs: qry.vms, Latency: sta.advisorLatency(liv.spec.Queue)})
 	}
 	sta.advisorQueue = nil
 }
 
-// advised takes in the advisor's answer.
-func (sta *State) advised(evt AdvisorAnswered) {
+// advisorAnswered applies an answer of the advisor.
+func (sta *State) advisorAnswered(evt AdvisorAnswered) {
 	sta.advisorInFlight--
 	stg := sta.stageOf(job.Task{Job: evt.Job, Occurrence: evt.Occurrence, Step: evt.Step})
 	if stg == nil {
 		return
 	}
 	adv := &stg.advice
-	adv.busy = false
+	adv.inFlight = false
 	if evt.Tickets == nil {
 		return
 	}
@@ -159,9 +166,10 @@
 		adv.tickets, adv.denied = map[string]ticket{}, map[string]bool{}
 	}
 	for _, vm := range evt.VMs {
-		if text, ok := evt.Tickets[vm]; ok {
-			// The ticket is as old as the question at most.
-			adv.tickets[vm] = ticket{text: text, until: evt.Sent.Add(evt.Valid)}
+		if token, ok := evt.Tickets[vm]; ok {
+			// A ticket's validity is counted from the sending of the query, which is
+			// no later than its issue.
+			adv.tickets[vm] = ticket{token: token, until: evt.Sent.Add(evt.Valid)}
 		} else {
 			adv.denied[vm] = true
 		}
--- a/internal/core/scheduler/schedule_test.go
+++ b/internal/core/scheduler/schedule_test.go
@@ -14,11 +14,13 @@
 	"gotest.tools/v3/assert"
 )
 
+// sortItems sorts items by key.
 func sortItems(items []kv.Item) {
 	slices.SortFunc(items, func(one, oth kv.Item) int { return strings.Compare(one.Key, oth.Key) })
 }
 
-// testCatalog has one pool with a queue, and an account with a cap.
+// testCatalog returns a configuration with one pool, two queues and an account
+// with a cap.
 func testCatalog() catalog.Catalog {
 	return catalog.New(catalog.Catalog{
 		Version: 1, Revision: 1,
@@ -40,7 +42,7 @@
 
 func jobName(n int) job.ID { return job.ID(fmt.Sprintf("%016x", n)) }
 
-// fanOut is a job of two steps, the second after the first.
+// fanOut returns a job of two steps, the second of which depends on the first.
 func fanOut(n int, account string, width int, cpu int64, span time.Duration) job.Spec {
 	ste := job.Step{Count: width, Size: job.Size{CPU: cpu, Memory: 512}, Estimate: span}
 	next := ste
@@ -48,9 +50,9 @@
 	return job.Spec{ID: jobName(n), Queue: "gate", Account: account, Payload: "x", Steps: []job.Step{ste, next}}
 }
 
-// faultyDay plays half a minute of jobs with faults of every kind, and a calm
-// quarter of a minute after it.
-func faultyDay(seed uint64) *emulator {
+// faultScenario runs half a minute of jobs with faults of every kind, and then
+// continues without faults until 75 s.
+func faultScenario(seed uint64) *emulator {
 	emu := newEmulator(seed, testCatalog())
 	emu.catalog.Pools[0].EnforcesCapacity = seed%3 != 0
 	emu.addVMs("lots", 9, 3, job.Size{CPU: 16_000, Memory: 32_768})
@@ -59,14 +61,14 @@
 	emu.duration = func(_ job.Task, ste job.Step) time.Duration {
 		return time.Duration(float64(ste.Estimate) * (0.5 + emu.rng.Float64()))
 	}
-	poisoned := map[job.ID]bool{}
-	emu.failing = func(tas job.Task) bool { return poisoned[tas.Job] || emu.rng.Float64() < 0.02 }
+	failingJobs := map[job.ID]bool{}
+	emu.failing = func(tas job.Task) bool { return failingJobs[tas.Job] || emu.rng.Float64() < 0.02 }
 	emu.takeOver(testOptions())
 	for i := range 120 {
 		account := []string{"small", "large"}[i%2]
 		at := time.Duration(emu.rng.Int64N(int64(28 * time.Second)))
 		spe := fanOut(i+1, account, 1+emu.rng.IntN(6), 500+emu.rng.Int64N(2000), 200*time.Millisecond+time.Duration(emu.rng.Int64N(int64(time.Second))))
-		poisoned[spe.ID] = i%29 == 7
+		failingJobs[spe.ID] = i%29 == 7
 		emu.vary(&spe, i)
 		emu.after(at, func() { emu.submit(spe) })
 	}
@@ -85,11 +87,11 @@
 		case 0:
 			emu.after(at, func() { emu.crash(vm, span) })
 		case 1:
-			emu.after(at, func() { vm.cut = true })
-			emu.after(at+span, func() { vm.cut = false })
+			emu.after(at, func() { vm.partitioned = true })
+			emu.after(at+span, func() { vm.partitioned = false })
 		default:
-			emu.after(at, func() { vm.fails = true })
-			emu.after(at+span, func() { vm.fails = false })
+			emu.after(at, func() { vm.failsTasks = true })
+			emu.after(at+span, func() { vm.failsTasks = false })
 		}
 	}
 	for range 3 {
@@ -98,7 +100,7 @@
 	if seed%2 == 1 {
 		emu.killOnUpkeep = 0.15
 		emu.after(3*time.Second, func() {
-			emu.askWave(upkeep.Wave{Number: 1, Machines: emu.names, Duration: 25 * time.Second, Cap: 3})
+			emu.requestWave(upkeep.Wave{Number: 1, Machines: emu.names, Duration: 25 * time.Second, Cap: 3})
 		})
 	}
 	emu.after(30*time.Second, func() {
@@ -109,7 +111,8 @@
 	return emu
 }
 
-// vary makes some jobs gangs, some bounded on each VM and some due at times.
+// vary makes some jobs gangs, limits some per VM and schedules some in
+// occurrences.
 func (emu *emulator) vary(spe *job.Spec, number int) {
 	switch number % 7 {
 	case 1:
@@ -124,66 +127,66 @@
 	}
 }
 
-// TestFaultyDays plays many seeds. No task runs twice at once or after its end
-// was acknowledged, none starts before its step, beyond its account's cap, beyond
-// a VM's room or beyond its attempts,
-// no end is acknowledged before it is stored, jobs end as they truly did, and
-// none is lost.
-func TestFaultyDays(t *testing.T) {
+// TestFaultInjection checks the invariants under many seeds: No task has two
+// active runs or starts after its end was acknowledged. No task starts before
+// the steps that it depends on, or beyond its account's cap, its VM's capacity
+// or its attempts. No end is acknowledged before it is stored. Jobs end with
+// the right state, and none is lost.
+func TestFaultInjection(t *testing.T) {
 	seeds := uint64(150)
 	if testing.Short() {
 		seeds = 20
 	}
 	for seed := range seeds {
-		emu := faultyDay(seed)
+		emu := faultScenario(seed)
 		for id := range emu.specs {
 			if _, ok := emu.finished[id]; !ok {
 				emu.fail("job %s has not ended", id)
 			}
 		}
-		emu.checkBooks()
-		assert.Equal(t, len(emu.broken), 0, "seed %d: %s", seed, strings.Join(emu.broken, "\n"))
+		emu.checkAccounting()
+		assert.Equal(t, len(emu.violations), 0, "seed %d: %s", seed, strings.Join(emu.violations, "\n"))
 	}
 }
 
-// checkBooks checks that the dispatcher holds what the VMs run, counts it once, and
-// has acknowledged all ends.
-func (emu *emulator) checkBooks() {
+// checkAccounting checks that the dispatcher's records match the runs on the
+// VMs and are counted once, and that all ends are acknowledged.
+func (emu *emulator) checkAccounting() {
 	usage := map[string]job.Size{}
-	for id := range emu.known {
+	for id := range emu.connected {
 		if emu.sched.hosts[id] == nil {
-			emu.fail("connections to %s are kept, which is gone", id)
+			emu.fail("connections to %s are still open after its end", id)
 		}
 	}
 	for _, hos := range emu.sched.hostList {
 		if vm := emu.vms[hos.vm.Address]; vm.vm.ID == hos.vm.ID && len(vm.ends) > 0 {
-			emu.fail("%s lists %d ends that are not acknowledged, the first is %v", hos.vm.ID, len(vm.ends), vm.ends[0])
+			emu.fail("%s lists %d unacknowledged ends, the first is %v", hos.vm.ID, len(vm.ends), vm.ends[0])
 		}
 		used := job.Size{}
-		for _, hel := range hos.runList {
-			used = used.Plus(hel.reserved)
-			usage[hel.account] = usage[hel.account].Plus(hel.size)
-			if hos.runs[hel.task] != hel {
-				emu.fail("%s holds run %d of %s beside another one", hos.vm.ID, hel.run, hel.task)
+		for _, pla := range hos.runList {
+			used = used.Plus(pla.reserved)
+			usage[pla.account] = usage[pla.account].Plus(pla.size)
+			if hos.runs[pla.task] != pla {
+				emu.fail("%s holds run %d of %s beside another run", hos.vm.ID, pla.run, pla.task)
 			}
-			if emu.vms[hos.vm.Address].runs[hel.task] == nil {
-				emu.fail("%s is thought to hold %s", hos.vm.ID, hel.task)
+			if emu.vms[hos.vm.Address].runs[pla.task] == nil {
+				emu.fail("%s is recorded as holding %s, which does not run there", hos.vm.ID, pla.task)
 			}
 		}
 		if used != hos.used {
-			emu.fail("%s is thought to have %v in use, not %v", hos.vm.ID, hos.used, used)
+			emu.fail("%s is recorded as using %v, want %v", hos.vm.ID, hos.used, used)
 		}
 	}
-	for owner, size := range emu.sched.usage {
-		if size != usage[owner] {
-			emu.fail("account %s is thought to use %v, not %v", owner, size, usage[owner])
+	for account, size := range emu.sched.usage {
+		if size != usage[account] {
+			emu.fail("account %s is recorded as using %v, want %v", account, size, usage[account])
 		}
 	}
 }
 
-// TestSiblingsOnAMachineDueForUpkeep has a step of which one task may be away and
-// two lie on one machine. They leave it one after the other.
-func TestSiblingsOnAMachineDueForUpkeep(t *testing.T) {
+// TestUpkeepRelocatesSiblings checks that two tasks of a step of which only
+// one may be away leave a machine that is due for upkeep one after the other.
+func TestUpkeepRelocatesSiblings(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 2, 2, job.Size{CPU: 16_000, Memory: 32_768})
 	emu.takeOver(testOptions())
@@ -203,36 +206,36 @@
 		})
 	}
 	emu.after(2*time.Second, func() {
-		emu.askWave(upkeep.Wave{Number: 1, Machines: []string{"lots-0"}, Duration: 15 * time.Second, Cap: 1})
+		emu.requestWave(upkeep.Wave{Number: 1, Machines: []string{"lots-0"}, Duration: 15 * time.Second, Cap: 1})
 	})
 	emu.run(20 * time.Second)
-	assert.Equal(t, emu.notes["wave_completed"], 1)
-	assert.Equal(t, emu.notes["task_relocated"], 1)
+	assert.Equal(t, emu.decisions["wave_completed"], 1)
+	assert.Equal(t, emu.decisions["task_relocated"], 1)
 	assert.Equal(t, fewest, 3)
-	assert.Equal(t, len(emu.broken), 0, "%s", strings.Join(emu.broken, "\n"))
+	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
-// TestTakeoverAfterMoves takes the duty over while the registrations of lives
-// that moves have ended are still there. Jobs that wait start at once.
+// TestTakeoverAfterMoves checks that waiting jobs start immediately when a
+// dispatcher takes over while VMs that a move has ended are still registered.
 func TestTakeoverAfterMoves(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 3, 3, job.Size{CPU: 16_000, Memory: 32_768})
 	emu.takeOver(testOptions())
 	emu.run(time.Second)
 	gone := emu.vms["lots-0"].vm
-	emu.end(emu.vms["lots-0"], 1500*time.Millisecond)
-	emu.down = true
+	emu.shutDown(emu.vms["lots-0"], 1500*time.Millisecond)
+	emu.dispatcherDown = true
 	emu.submit(fanOut(1, "large", 2, 500, 200*time.Millisecond))
 	emu.run(2 * time.Second)
 	emu.takeOver(testOptions())
-	emu.tell(VMRegistered{VM: gone})
+	emu.deliver(VMRegistered{VM: gone})
 	emu.run(3 * time.Second)
 	assert.Equal(t, len(emu.finished), 1)
-	assert.Equal(t, len(emu.broken), 0, "%s", strings.Join(emu.broken, "\n"))
+	assert.Equal(t, len(emu.violations), 0, "%s", strings.Join(emu.violations, "\n"))
 }
 
-// TestPendingWhileOrdersAreLost counts a job as pending until a VM has started
-// one of its tasks, not when one was ordered.
+// TestPendingWhileOrdersAreLost checks that a job counts as pending until a VM
+// has started one of its tasks, not from when a start was ordered.
 func TestPendingWhileOrdersAreLost(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 3, 3, job.Size{CPU: 16_000, Memory: 32_768})
@@ -248,8 +251,8 @@
 	assert.Equal(t, len(emu.finished), 1)
 }
 
-// pending returns how many jobs of a queue the dispatcher says have not begun; -1
-// if it doesn't know.
+// pending returns the dispatcher's number of pending jobs of a queue; -1 if it
+// is unknown.
 func (emu *emulator) pending(queue string) int {
 	loa, ok := emu.sched.Load()
 	if !ok {
@@ -258,8 +261,8 @@
 	return loa.Pending[queue]
 }
 
-// TestPendingAfterTakeover takes over while jobs wait. The new dispatcher tells no
-// number before it has loaded them.
+// TestPendingAfterTakeover checks that a dispatcher that takes over while jobs
+// wait reports no number of pending jobs before it has loaded them.
 func TestPendingAfterTakeover(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.takeOver(testOptions())
@@ -268,30 +271,30 @@
 	emu.run(2 * time.Second)
 	assert.Equal(t, emu.pending("gate"), 1)
 	emu.takeOver(testOptions())
-	emu.run(2*time.Second + emulatedLoad/2)
+	emu.run(2*time.Second + emulatedLoadTime/2)
 	assert.Equal(t, emu.pending("gate"), -1)
 	emu.run(3 * time.Second)
 	assert.Equal(t, emu.pending("gate"), 1)
 }
 
-// TestCancelledWhileTheStoreIsSilent cancels a job whose second step is to come,
-// while the dispatcher hears nothing of the store and still holds its duty. The
-// step does not start.
-func TestCancelledWhileTheStoreIsSilent(t *testing.T) {
+// TestCancelWhileWatchIsSilent checks that the second step of a job does not
+// start if the job is cancelled while the dispatcher still holds its duty but
+// receives nothing from the store.
+func TestCancelWhileWatchIsSilent(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 2, 2, job.Size{CPU: 16_000, Memory: 32_768})
 	emu.takeOver(testOptions())
 	emu.run(time.Second)
 	emu.submit(fanOut(1, "large", 2, 500, 3*time.Second))
 	emu.run(1500 * time.Millisecond)
-	emu.blind = true
+	emu.watchSilent = true
 	emu.cancel(jobName(1))
 	emu.run(6 * time.Second)
 	for name := range emu.truth {
 		assert.Equal(t, name.Step, 0, "%s has started", name)
 	}
-	emu.blind = false
-	emu.tell(JobCancelled{ID: jobName(1)})
+	emu.watchSilent = false
+	emu.deliver(JobCancelled{ID: jobName(1)})
 	emu.run(8 * time.Second)
 	assert.Equal(t, len(emu.finished), 1)
 }
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -14,9 +14,9 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// carryOut does what an effect asks for. Whatever takes time runs beside the
-// loop and comes back as an event.
-func (rnr *Runner) carryOut(eff effect.Effect) {
+// execute carries out an effect. Anything that blocks runs in its own goroutine
+// and reports its result as an event.
+func (rnr *Runner) execute(eff effect.Effect) {
 	switch eff := eff.(type) {
 	case effect.Send:
 		rnr.links.Send(eff.To, eff.Message)
@@ -27,13 +27,13 @@
 	case effect.AbortAttempt:
 		rnr.abort(attemptKey{eff.Work, eff.Attempt})
 	case effect.RelayResponse:
-		rnr.relay(eff)
+		rnr.relayResponse(eff)
 	case effect.StartTask:
-		go func() { rnr.Post(rnr.workers.Start(rnr.calls, eff)) }()
+		go func() { rnr.Post(rnr.workers.Start(rnr.callsCtx, eff)) }()
 	case effect.PollWorker:
-		go func() { rnr.Post(rnr.workers.Poll(rnr.calls, eff)) }()
+		go func() { rnr.Post(rnr.workers.Poll(rnr.callsCtx, eff)) }()
 	case effect.StopTask:
-		go rnr.workers.Stop(rnr.calls, eff)
+		go rnr.workers.Stop(rnr.callsCtx, eff)
 	case effect.Connect:
 		rnr.connect(eff.Voters)
 	case effect.PublishConfig:
@@ -51,7 +51,7 @@
 	}
 }
 
-// reply ends the exchange that an effect answers.
+// reply finishes the exchange that an effect replies to.
 func (rnr *Runner) reply(eff effect.Effect) {
 	switch eff := eff.(type) {
 	case effect.Refuse:
@@ -59,16 +59,16 @@
 	case effect.AcceptTask:
 		rnr.exchanges.Finish(eff.Request, exchange.Accepted{TaskID: eff.TaskID})
 	case effect.ReplyTaskStatus:
-		rnr.exchanges.Finish(eff.Request, exchange.Told{Status: eff.Status})
+		rnr.exchanges.Finish(eff.Request, exchange.TaskStatus{Status: eff.Status})
 	case effect.ReplyChange:
-		rnr.exchanges.Finish(eff.Request, exchange.Changed{Answer: eff})
+		rnr.exchanges.Finish(eff.Request, exchange.ChangeResult{Result: eff})
 	case effect.ReplyStatus:
-		rnr.exchanges.Finish(eff.Request, exchange.Reported{Status: eff.Status})
+		rnr.exchanges.Finish(eff.Request, exchange.EntryStatus{Status: eff.Status})
 	}
 }
 
 func (rnr *Runner) callStore(eff effect.CallStore) {
-	ctx, cancel := context.WithTimeout(rnr.calls, effect.StoreTimeout)
+	ctx, cancel := context.WithTimeout(rnr.callsCtx, effect.StoreTimeout)
 	defer cancel()
 	rnr.Post(event.StoreAnswered{Call: eff.Call, Result: rnr.store.Call(ctx, eff.Op)})
 }
@@ -81,7 +81,7 @@
 		})
 		return
 	}
-	ctx, cancel := context.WithDeadline(rnr.calls, eff.Deadline)
+	ctx, cancel := context.WithDeadline(rnr.callsCtx, eff.Deadline)
 	key := attemptKey{eff.Work, eff.Attempt}
 	rnr.mu.Lock()
 	rnr.aborts[key] = cancel
@@ -93,11 +93,11 @@
 			VM: eff.VM, Address: eff.Address, Request: exc.Request, Repeatable: eff.Repeatable,
 		})
 		if res.Kind == event.AttemptAnswered {
-			exc.SetAnswer(eff.Attempt, res.Answer)
+			exc.SetResponse(eff.Attempt, res.HTTPResponse)
 		}
 		rnr.Post(event.AttemptEnded{
 			Work: eff.Work, Attempt: eff.Attempt, Result: res.Kind,
-			Status: res.Answer.Status, Leaving: res.Leaving, Reason: res.Reason,
+			Status: res.HTTPResponse.Status, Leaving: res.Leaving, Reason: res.Reason,
 		})
 	}()
 }
@@ -112,13 +112,13 @@
 	}
 }
 
-func (rnr *Runner) relay(eff effect.RelayResponse) {
+func (rnr *Runner) relayResponse(eff effect.RelayResponse) {
 	exc, ok := rnr.exchanges.Get(eff.Request)
 	if !ok {
 		return
 	}
-	if ans, ok := exc.AnswerOf(eff.Attempt); ok {
-		rnr.exchanges.Finish(eff.Request, ans)
+	if rsp, ok := exc.ResponseOf(eff.Attempt); ok {
+		rnr.exchanges.Finish(eff.Request, rsp)
 	}
 }
 
@@ -127,26 +127,27 @@
 	for _, vtr := range voters {
 		addresses = append(addresses, vtr.Address)
 	}
-	rnr.links.Want(rnr.calls, addresses)
+	rnr.links.SetAddresses(rnr.callsCtx, addresses)
 }
 
 func (rnr *Runner) setReady(ready bool) {
 	rnr.ready.Store(ready)
 	if ready {
-		rnr.part("entry").Info("The entry is ready.")
+		rnr.partLogger("entry").Info("The entry is ready.")
 	} else {
-		rnr.part("entry").Warn("The entry is not ready.")
+		rnr.partLogger("entry").Warn("The entry is not ready.")
 	}
 }
 
-// stopAccepting ends the callers' connections once their requests are answered.
-// A connection that has sent nothing yet gets five seconds, by net/http's rule.
+// stopAccepting closes the callers' listener, and their connections once their
+// requests are answered. net/http waits up to 5 seconds for a connection that
+// has not sent a request yet.
 func (rnr *Runner) stopAccepting() {
 	rnr.callers.SetKeepAlivesEnabled(false)
 	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	if err := rnr.callers.Shutdown(ctx); err != nil {
-		rnr.part("entry").WithError(err).Warn("Some callers were cut off.")
+		rnr.partLogger("entry").WithError(err).Warn("Some caller connections did not finish within the shutdown timeout.")
 	}
 	rnr.Post(event.AcceptingStopped{})
 }
@@ -156,6 +157,6 @@
 	rnr.ring.Add(timeline.Event{
 		Stamp: stm, Entry: rnr.id, Part: eff.Part, Name: eff.Name, Subject: eff.Subject, Detail: eff.Detail,
 	})
-	rnr.part(eff.Part).WithFields(map[string]any{"subject": eff.Subject, "detail": eff.Detail}).
+	rnr.partLogger(eff.Part).WithFields(map[string]any{"subject": eff.Subject, "detail": eff.Detail}).
 		Debug(strings.ReplaceAll(eff.Name, "_", " "))
 }
