--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -106,18 +106,18 @@
 
 // Summary describes in a sentence the outcome of a job that the lines report.
 func Summary(lines []Line) string {
-	verdict := "No log line reports how it ended."
+	summary := "No log line reports how it ended."
 	for _, lin := range lines {
 		switch {
 		case lin.Event == "job_ended":
-			verdict = fmt.Sprintf("It ended as %v %v ms after it was accepted, %s.", lin.Fields["state"], number(lin.Fields["age_ms"]), lateness(lin.Fields["late_ms"]))
+			summary = fmt.Sprintf("It ended as %v %v ms after it was accepted, %s.", lin.Fields["state"], number(lin.Fields["age_ms"]), lateness(lin.Fields["late_ms"]))
 		case lin.Event == "call" && lin.Fields["method"] == "POST" && lin.Fields["verdict"] == "ok":
-			verdict = fmt.Sprintf("It was accepted by %s; no log line reports how it ended.", lin.Process)
+			summary = fmt.Sprintf("It was accepted by %s; no log line reports how it ended.", lin.Process)
 		case lin.Event == "call" && lin.Fields["method"] == "POST":
-			verdict = fmt.Sprintf("The last submission was answered %v by %s: %v.", lin.Fields["verdict"], lin.Process, lin.Fields["reason"])
+			summary = fmt.Sprintf("The last submission was answered %v by %s: %v.", lin.Fields["verdict"], lin.Process, lin.Fields["reason"])
 		}
 	}
-	return verdict
+	return summary
 }
 
 func number(val any) int64 {
