--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -11,8 +11,8 @@
 )
 
 // TestCollectFollowsJob traces a job through the logs of three processes: one
-// receives the submission, another dispatches the job, and it ends after its
-// target.
+// gets no answer from the store for the submission, another dispatches the job,
+// the third answers the retry, and the job ends late.
 func TestCollectFollowsJob(t *testing.T) {
 	const id = "b41755ab3606abc5"
 	var lines []Line
--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -9,5 +9,5 @@
 // observe.
 //
 // A node is one process of the program. A machine of the stand-in runs one VM at
-// a time; a VM that crashes comes back as a new incarnation.
+// a time; after a crash, it continues as a new incarnation.
 package soak
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -21,9 +21,11 @@
 
 // node is one process of the program, with the proxy to its store.
 type node struct {
-	name    string
-	binary  string
-	dir     string
+	name   string
+	binary string
+	dir    string
+	// callers and ready are the listen addresses for callers and for readiness
+	// checks.
 	callers string
 	ready   string
 	store   *proxy.Proxy
@@ -63,10 +65,10 @@
 		Name: name, Callers: nod.callers, Ready: nod.ready, Port: ports[2], Store: nod.store.Address(), Machines: machines,
 		Grace: gracePeriod, Revoke: ledger.PlatformBounds.Revoke,
 	}.Settings()
-	return nod, os.WriteFile(nod.settings(), []byte(text), 0o600)
+	return nod, os.WriteFile(nod.settingsPath(), []byte(text), 0o600)
 }
 
-func (nod *node) settings() string { return filepath.Join(nod.dir, nod.name+".toml") }
+func (nod *node) settingsPath() string { return filepath.Join(nod.dir, nod.name+".toml") }
 
 // start starts the process. Each start writes to a log file of its own.
 func (nod *node) start() (err error) {
@@ -78,7 +80,7 @@
 		return err
 	}
 	cmd := exec.Command(nod.binary, "manage")
-	cmd.Env = []string{platform.SettingsVariable + "=" + nod.settings(), "PATH=" + os.Getenv("PATH"), "HOME=" + nod.dir}
+	cmd.Env = []string{platform.SettingsVariable + "=" + nod.settingsPath(), "PATH=" + os.Getenv("PATH"), "HOME=" + nod.dir}
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return errors.Join(fmt.Errorf("start process %s: %w", nod.name, err), out.Close())
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -62,8 +62,8 @@
 // core: about one and a half times what the callers request for it.
 const smallCapMilliCPU = 24_000
 
-// Run is one run: the stand-in, the processes, the callers' ledger and the state
-// of the faults in progress.
+// Run is one run of the soak: the stand-in, the processes, the ledger and the
+// faults in progress.
 type Run struct {
 	opt    Options
 	ledger *ledger.Ledger
@@ -72,10 +72,10 @@
 	// vmProxies holds the proxy in front of each VM.
 	vmProxies []*proxy.Proxy
 
-	mu      sync.Mutex
-	version int
-	keys    map[string]string
-	waves   int
+	mu            sync.Mutex
+	configVersion int
+	keys          map[string]string
+	waves         int
 	// pending tracks the faults in progress and the restarts that follow them. Their
 	// goroutines record violations in the ledger.
 	pending sync.WaitGroup
@@ -225,14 +225,14 @@
 func (run *Run) rotateKeys(names ...string) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	run.version += 2
+	run.configVersion += 2
 	withdrawn := map[string]string{}
 	for _, name := range names {
 		withdrawn[name] = run.keys[name]
-		run.keys[name] = fmt.Sprintf("%s-%d", name, run.version)
+		run.keys[name] = fmt.Sprintf("%s-%d", name, run.configVersion)
 	}
 	cfg := site.Config{
-		Version: run.version, Pools: run.pools(),
+		Version: run.configVersion, Pools: run.pools(),
 		Queues: []site.Queue{{Name: "gate", Prefix: queuePrefix, Pool: "lots", Attempts: ledger.PlatformBounds.Attempts}},
 	}
 	for _, name := range accounts {
