--- a/internal/core/scheduler/attempts_test.go
+++ b/internal/core/scheduler/attempts_test.go
@@ -38,7 +38,7 @@
 		now = now.Add(10 * time.Millisecond)
 		return sta.Reduce(now, append(events, JobWatchProgressed{At: now}))
 	}
-	reduce(CatalogChanged{cat}, VMRegistered{one}, VMRegistered{oth}, JobAccepted{Spec: spe, Revision: 5}, Loaded{})
+	reduce(CatalogChanged{cat}, VMRegistered{one}, VMRegistered{oth}, JobAccepted{Spec: spe, Revision: 5}, JobsLoaded{})
 	reduce(MachinesListed{RequestedAt: now, Machines: []worker.Machine{
 		{Name: "m-1", Pool: "lots", State: worker.MachineUp, VM: one.ID}, {Name: "m-2", Pool: "lots", State: worker.MachineUp, VM: oth.ID},
 	}})
--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -345,7 +345,7 @@
 	if emu.wave != nil {
 		emu.deliver(WaveRequested{Wave: *emu.wave, Begun: emu.begun})
 	}
-	emu.deliver(Loaded{})
+	emu.deliver(JobsLoaded{})
 	var ended EndedJobsListed
 	for _, itm := range emu.store.sorted(job.EndedPrefix) {
 		out, err := job.Unmarshal[job.Outcome](itm.Value)
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -134,9 +134,9 @@
 // received.
 type JobWatchProgressed struct{ At time.Time }
 
-// Loaded reports that all jobs that were stored at the start of the tenure
+// JobsLoaded reports that all jobs that were stored at the start of the tenure
 // have been received.
-type Loaded struct{}
+type JobsLoaded struct{}
 
 func (Tick) event()                {}
 func (CatalogChanged) event()      {}
@@ -158,4 +158,4 @@
 func (MachineAnswered) event()     {}
 func (EndedJobsListed) event()     {}
 func (JobWatchProgressed) event()  {}
-func (Loaded) event()              {}
+func (JobsLoaded) event()          {}
--- a/internal/core/scheduler/gang_test.go
+++ b/internal/core/scheduler/gang_test.go
@@ -33,7 +33,7 @@
 }
 
 // TestGangOnOneRack checks that a gang that is slow across racks is placed on
-// one, although the first two VMs with room for a member are on different
+// one, although the first two VMs with capacity for a member are on different
 // racks.
 func TestGangOnOneRack(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
@@ -119,7 +119,7 @@
 	name := job.Task{Job: spe.ID}
 	oth := name
 	oth.Index = 1
-	reduce(CatalogChanged{testCatalog()}, VMRegistered{one}, Loaded{})
+	reduce(CatalogChanged{testCatalog()}, VMRegistered{one}, JobsLoaded{})
 	reduce(PollAnswered{VM: one, Sent: now, Report: worker.Report{StartedAtMS: 1, Clock: time.Second}})
 	reduce(JobAccepted{Spec: spe, Revision: 5})
 	assert.Equal(t, len(starts), 2)
--- a/internal/core/scheduler/hosts.go
+++ b/internal/core/scheduler/hosts.go
@@ -165,7 +165,7 @@
 // No VM is polled before all jobs are loaded: the runs of jobs not yet loaded
 // would be stopped.
 func (sta *State) pollHosts() {
-	if !sta.loaded {
+	if !sta.jobsLoaded {
 		return
 	}
 	for _, hos := range sta.hostList {
--- a/internal/core/scheduler/load.go
+++ b/internal/core/scheduler/load.go
@@ -38,7 +38,7 @@
 // Load returns the current load. It is not known until all stored jobs are
 // loaded.
 func (sta *State) Load() (loa Load, ok bool) {
-	if !sta.loaded {
+	if !sta.jobsLoaded {
 		return Load{}, false
 	}
 	loa = Load{Pending: map[string]int{}, Backlog: map[string]time.Duration{}}
--- a/internal/core/scheduler/reduce.go
+++ b/internal/core/scheduler/reduce.go
@@ -22,7 +22,7 @@
 	}
 	sta.expireLeases()
 	sta.openDueOccurrences()
-	if sta.loaded {
+	if sta.jobsLoaded {
 		sta.planWaves()
 		sta.planMoves()
 		sta.assign()
@@ -38,8 +38,8 @@
 func (sta *State) handle(evt Event) {
 	switch evt := evt.(type) {
 	case Tick:
-	case Loaded:
-		sta.loaded = true
+	case JobsLoaded:
+		sta.jobsLoaded = true
 	case CatalogChanged:
 		sta.catalog = evt.Catalog
 	case ZonesChanged:
--- a/internal/core/scheduler/stale_test.go
+++ b/internal/core/scheduler/stale_test.go
@@ -38,7 +38,7 @@
 		}
 		return PollAnswered{VM: vm, Sent: now.Add(time.Millisecond), Report: rep}
 	}
-	reduce(CatalogChanged{testCatalog()}, VMRegistered{one}, VMRegistered{oth}, JobAccepted{Spec: spe, Revision: 5}, Loaded{})
+	reduce(CatalogChanged{testCatalog()}, VMRegistered{one}, VMRegistered{oth}, JobAccepted{Spec: spe, Revision: 5}, JobsLoaded{})
 	reduce(MachinesListed{RequestedAt: now, Machines: []worker.Machine{
 		{Name: "m-1", Pool: "lots", State: worker.MachineUp, VM: one.ID}, {Name: "m-2", Pool: "lots", State: worker.MachineUp, VM: oth.ID},
 	}})
@@ -56,10 +56,10 @@
 		reduce(Tick{})
 	}
 	assert.Assert(t, len(starts) > 0, "the task is not started again")
-	held := 0
+	recorded := 0
 	for _, hos := range sta.hostList {
-		held += len(hos.runList)
+		recorded += len(hos.runList)
 		assert.Equal(t, len(hos.runList), len(hos.runs), "runs on %s", hos.vm.ID)
 	}
-	assert.Equal(t, held, 1)
+	assert.Equal(t, recorded, 1)
 }
--- a/internal/core/scheduler/state.go
+++ b/internal/core/scheduler/state.go
@@ -277,7 +277,7 @@
 	machines   machines
 	waves      map[int64]*wave
 	commit     commit
-	loaded     bool
+	jobsLoaded bool
 	// jobsSyncedAt is the time up to which all changes of jobs have been
 	// received.
 	jobsSyncedAt time.Time
--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -259,7 +259,7 @@
 		progress = nil
 		if first {
 			first = false
-			dis.send(ctx, scheduler.Loaded{})
+			dis.send(ctx, scheduler.JobsLoaded{})
 		}
 	}
 }
