--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -112,19 +112,24 @@
 	up          bool
 	partitioned bool
 	startedAt   time.Time
-	fence       int64
-	runs        map[job.Task]*emulatedRun
-	ends        []worker.End
+	// fence is the highest term that the VM has accepted.
+	fence int64
+	runs  map[job.Task]*emulatedRun
+	ends  []worker.End
 	// endTimes holds the time of each end of this VM by its number;
 	// leaseExpiredAt is when the lease last expired.
 	endTimes       map[int64]time.Time
 	leaseExpiredAt time.Time
-	number         int64
-	tombstones     map[job.Task]int
-	deadline       time.Duration
-	incarnations   int
-	waiter         func()
-	failsTasks     bool
+	// number is the number of the last end.
+	number int64
+	// tombstones holds, by task, the highest run number that the VM rejects.
+	tombstones map[job.Task]int
+	// deadline is the end of the lease on the VM's clock.
+	deadline     time.Duration
+	incarnations int
+	// waiter answers the poll that waits for an end; nil if none does.
+	waiter     func()
+	failsTasks bool
 	// offline reports whether the machine is down for upkeep or moving.
 	// upkeepBegun holds the waves in which its upkeep has begun.
 	offline     bool
