--- a/internal/soak/ledger/ledger_test.go
+++ b/internal/soak/ledger/ledger_test.go
@@ -128,9 +128,9 @@
 		t.Run(tst.name, func(t *testing.T) {
 			led := newTestLedger()
 			tst.history(led)
-			broken := strings.Join(led.Violations(), "\n")
+			violations := strings.Join(led.Violations(), "\n")
 			if tst.want == "" {
-				assert.Equal(t, broken, "")
+				assert.Equal(t, violations, "")
 				return
 			}
 			assert.Assert(t, len(led.Violations()) >= 1, "no violation was reported")
