--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -72,7 +72,7 @@
 // testConfig has one queue that requires a key and one public queue.
 func testConfig(version int, key string) site.Config {
 	return site.Config{
-		Version: version, Pools: []site.Pool{{Name: "lots"}}, GuardsRoom: true,
+		Version: version, Pools: []site.Pool{{Name: "lots"}}, RejectsOverload: true,
 		Queues: []site.Queue{
 			{Name: "gate", Prefix: "/gate/", Pool: "lots", Attempts: 4}, {Name: "open", Prefix: "/open/", Pool: "lots", Attempts: 4, Public: true},
 		},
--- a/internal/standin/site/operator.go
+++ b/internal/standin/site/operator.go
@@ -11,9 +11,9 @@
 	Version int
 	Queues  []Queue
 	Pools   []Pool
-	// GuardsRoom says that VMs reject tasks that don't fit.
-	GuardsRoom bool
-	Accounts   []Account
+	// RejectsOverload says that VMs reject tasks that don't fit.
+	RejectsOverload bool
+	Accounts        []Account
 }
 
 // Queue takes jobs for a pool.
@@ -62,7 +62,7 @@
 	}
 	for _, poo := range cfg.Pools {
 		services = append(services, map[string]any{
-			"name": poo.Name, "health-path": "/healthz", "rejects-overload": cfg.GuardsRoom, "standby": poo.Standby,
+			"name": poo.Name, "health-path": "/healthz", "rejects-overload": cfg.RejectsOverload, "standby": poo.Standby,
 		})
 	}
 	for _, acc := range cfg.Accounts {
