--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -290,7 +290,7 @@
 // time for each entry.
 func TestAdviceThroughAllEntries(t *testing.T) {
 	config := testConfig(1, "k1")
-	config.Queues[0].Advice = 300 * time.Millisecond
+	config.Queues[0].DecisionTime = 300 * time.Millisecond
 	clu := newClusterWith(t, 3, site.Options{Pool: "lots", Workers: 3, Work: 50 * time.Millisecond, Advice: 300 * time.Millisecond}, config)
 	clu.await("registrations", func() bool {
 		return clu.sit.Store.Value("asker/entry-0") != nil && clu.sit.Store.Value("asker/entry-1") != nil && clu.sit.Store.Value("asker/entry-2") != nil
--- a/internal/standin/site/operator.go
+++ b/internal/standin/site/operator.go
@@ -24,8 +24,8 @@
 	// Attempts is how often a task may fail.
 	Attempts int
 	Public   bool
-	// Advice is how long the advisor takes for a step; 0 for queues without.
-	Advice time.Duration
+	// DecisionTime is how long the advisor takes for a step; 0 for queues without.
+	DecisionTime time.Duration
 }
 
 // Account is a client account. A cap of 0 is none.
@@ -55,8 +55,8 @@
 			"target-duration-ms": jobTarget, "priority": 0, "service": que.Pool, "max-attempts": que.Attempts,
 			"slack-factor": jobSlack, "public": que.Public,
 		}
-		if que.Advice > 0 {
-			route["advice"] = map[string]any{"decision-ms": que.Advice.Milliseconds(), "period-ms": 0, "valid-ms": adviceValid}
+		if que.DecisionTime > 0 {
+			route["advice"] = map[string]any{"decision-ms": que.DecisionTime.Milliseconds(), "period-ms": 0, "valid-ms": adviceValid}
 		}
 		routes = append(routes, route)
 	}
