--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -291,7 +291,7 @@
 func TestAdviceThroughAllEntries(t *testing.T) {
 	config := testConfig(1, "k1")
 	config.Queues[0].DecisionTime = 300 * time.Millisecond
-	clu := newClusterWith(t, 3, site.Options{Pool: "lots", Workers: 3, Work: 50 * time.Millisecond, Advice: 300 * time.Millisecond}, config)
+	clu := newClusterWith(t, 3, site.Options{Pool: "lots", Workers: 3, Work: 50 * time.Millisecond, DecisionTime: 300 * time.Millisecond}, config)
 	clu.await("registrations", func() bool {
 		return clu.sit.Store.Value("asker/entry-0") != nil && clu.sit.Store.Value("asker/entry-1") != nil && clu.sit.Store.Value("asker/entry-2") != nil
 	})
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -45,9 +45,9 @@
 	Work time.Duration
 	// Outcome replaces Work: how long a run takes, and how it ends.
 	Outcome func(task string, run int) (work time.Duration, how string)
-	// Advice is how long the advisor takes for an answer; 0 for no advisor. VMs
+	// DecisionTime is how long the advisor takes for an answer; 0 for no advisor. VMs
 	// start only tasks with its tickets.
-	Advice time.Duration
+	DecisionTime time.Duration
 	// Expose returns the address by which a listener is reached; nil for its own.
 	Expose func(name, address string) (exposed string, err error)
 	// Observer is told what the VMs do; it may be nil.
@@ -91,8 +91,8 @@
 	if sit.MachinesAddress, err = sit.serve(http.HandlerFunc(sit.serveMachines)); err != nil {
 		return nil, err
 	}
-	if opt.Advice > 0 {
-		sit.Advisor = &Advisor{decision: opt.Advice, turns: map[string]chan struct{}{}, tickets: map[string]bool{}}
+	if opt.DecisionTime > 0 {
+		sit.Advisor = &Advisor{decision: opt.DecisionTime, turns: map[string]chan struct{}{}, tickets: map[string]bool{}}
 		if sit.AdvisorAddress, err = sit.serve(sit.Advisor); err != nil {
 			return nil, err
 		}
