--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -229,7 +229,7 @@
 	for _, name := range accounts {
 		acc := site.Account{Name: name, Keys: []string{run.keys[name]}}
 		if name == accounts[0] {
-			acc.CPU = smallCap
+			acc.CPULimit = smallCap
 		}
 		cfg.Accounts = append(cfg.Accounts, acc)
 	}
--- a/internal/standin/site/operator.go
+++ b/internal/standin/site/operator.go
@@ -30,10 +30,10 @@
 
 // Account is a client account. A cap of 0 is none.
 type Account struct {
-	Name   string
-	Keys   []string
-	Weight int
-	CPU    int64
+	Name     string
+	Keys     []string
+	Weight   int
+	CPULimit int64
 }
 
 // Host is the host name of all queues.
@@ -67,7 +67,7 @@
 	}
 	for _, acc := range cfg.Accounts {
 		tenants = append(tenants, map[string]any{
-			"name": acc.Name, "api-keys": acc.Keys, "weight": acc.Weight, "cap": map[string]int64{"cpu": acc.CPU},
+			"name": acc.Name, "api-keys": acc.Keys, "weight": acc.Weight, "cap": map[string]int64{"cpu": acc.CPULimit},
 		})
 	}
 	sit.Store.Put("op/config", map[string]any{"version": cfg.Version, "routes": routes, "services": services, "tenants": tenants})
