--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -143,7 +143,7 @@
 			machines = append(machines, wor.Machine())
 		}
 	}
-	run.sit.AskWave(run.waves, machines, waveTime, waveCap)
+	run.sit.RequestWave(run.waves, machines, waveTime, waveCap)
 }
 
 // awaitReady waits until all processes take calls.
--- a/internal/standin/site/operator.go
+++ b/internal/standin/site/operator.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// AskWave asks for the upkeep of machines.
-func (sit *Site) AskWave(number int, machines []string, within time.Duration, most int) {
+// RequestWave asks for the upkeep of machines.
+func (sit *Site) RequestWave(number int, machines []string, within time.Duration, most int) {
 	sit.Store.Put(fmt.Sprintf("op/wave/%d", number), map[string]any{
 		"wave": number, "machines": machines, "duration-s": within.Seconds(), "cap": most,
 	})
