--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -43,7 +43,7 @@
 }
 
 func newCluster(t *testing.T, nodes, workers int, work time.Duration) *cluster {
-	return newClusterWith(t, nodes, site.Options{Pool: "lots", Workers: workers, Work: work}, testConfig(1, "k1"))
+	return newClusterWith(t, nodes, site.Options{Pool: "lots", Workers: workers, TaskDuration: work}, testConfig(1, "k1"))
 }
 
 // newClusterWith starts processes on a stand-in with the given options and
@@ -291,7 +291,7 @@
 func TestAdviceThroughAllEntries(t *testing.T) {
 	config := testConfig(1, "k1")
 	config.Queues[0].DecisionTime = 300 * time.Millisecond
-	clu := newClusterWith(t, 3, site.Options{Pool: "lots", Workers: 3, Work: 50 * time.Millisecond, DecisionTime: 300 * time.Millisecond}, config)
+	clu := newClusterWith(t, 3, site.Options{Pool: "lots", Workers: 3, TaskDuration: 50 * time.Millisecond, DecisionTime: 300 * time.Millisecond}, config)
 	clu.await("registrations", func() bool {
 		return clu.sit.Store.Value("asker/entry-0") != nil && clu.sit.Store.Value("asker/entry-1") != nil && clu.sit.Store.Value("asker/entry-2") != nil
 	})
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -41,8 +41,8 @@
 	Workers int
 	// Pools replaces Pool for several ones; their VMs follow each other.
 	Pools []Pool
-	// Work is how long each task takes.
-	Work time.Duration
+	// TaskDuration is how long each task takes.
+	TaskDuration time.Duration
 	// Outcome replaces Work: how long a run takes, and how it ends.
 	Outcome func(task string, run int) (work time.Duration, how string)
 	// DecisionTime is how long the advisor takes for an answer; 0 for no advisor. VMs
@@ -131,7 +131,7 @@
 	if sit.opt.Outcome != nil {
 		return sit.opt.Outcome(task, run)
 	}
-	return sit.opt.Work, "done"
+	return sit.opt.TaskDuration, "done"
 }
 
 func (sit *Site) serve(handler http.Handler) (address string, err error) {
