--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -116,7 +116,7 @@
 }
 func (obs observer) Ended(vm, task string, _ int, how string)       { obs.led.Ended(vm, task, how) }
 func (obs observer) Acknowledged(_, task string, _ int, how string) { obs.led.Acknowledged(task, how) }
-func (obs observer) Broken(what string)                             { obs.led.Fail(time.Now(), what) }
+func (obs observer) Violation(what string)                          { obs.led.Fail(time.Now(), what) }
 
 // start starts the stand-in and the processes.
 func (run *Run) start() (err error) {
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -69,8 +69,8 @@
 	Ended(vm, task string, run int, how string)
 	// Acknowledged is told of an end that was acknowledged to its VM.
 	Acknowledged(vm, task string, run int, how string)
-	// Broken is told of an order that breaks a rule of the machines.
-	Broken(what string)
+	// Violation is told of an order that breaks a rule of the machines.
+	Violation(what string)
 }
 
 // Start starts a stand-in on loopback addresses.
@@ -198,7 +198,7 @@
 	what := fmt.Sprintf(format, args...)
 	sit.faults = append(sit.faults, what)
 	if sit.opt.Observer != nil {
-		sit.opt.Observer.Broken(what)
+		sit.opt.Observer.Violation(what)
 	}
 }
 
