--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -163,7 +163,7 @@
 	assert.Equal(t, clu.status(http.MethodPost, clu.jobURL(0, "/gate/", 3), "k1", jobBody), http.StatusOK)
 	assert.Equal(t, clu.status(http.MethodGet, clu.jobURL(0, "/gate/", 99), "k1", ""), http.StatusGone)
 	assert.Equal(t, clu.sit.Started(fmt.Sprintf("%016x", 3)), 4)
-	assert.DeepEqual(t, clu.sit.Faults(), []string(nil))
+	assert.DeepEqual(t, clu.sit.Violations(), []string(nil))
 }
 
 // TestRejectedCalls checks the status of calls that aren't allowed, and that
@@ -231,7 +231,7 @@
 			return text == `{"state":"completed"}`
 		})
 	}
-	assert.DeepEqual(t, clu.sit.Faults(), []string(nil))
+	assert.DeepEqual(t, clu.sit.Violations(), []string(nil))
 }
 
 // TestStoreFaults makes the store lose the answers of writes, drop its history
@@ -263,7 +263,7 @@
 		})
 	}
 	assert.Equal(t, clu.sit.Started(fmt.Sprintf("%016x", 100)), 0)
-	assert.DeepEqual(t, clu.sit.Faults(), []string(nil))
+	assert.DeepEqual(t, clu.sit.Violations(), []string(nil))
 }
 
 // TestSilentVM makes a VM stop responding. Its tasks move to another VM once
@@ -282,7 +282,7 @@
 		})
 	}
 	clu.sit.Workers[0].SetSilent(false)
-	assert.DeepEqual(t, clu.sit.Faults(), []string(nil))
+	assert.DeepEqual(t, clu.sit.Violations(), []string(nil))
 }
 
 // TestAdviceThroughAllEntries has a queue whose steps may start only with
@@ -305,7 +305,7 @@
 		})
 	}
 	assert.Assert(t, clu.sit.Advisor.Callers() >= 3, "%d entries queried the advisor", clu.sit.Advisor.Callers())
-	assert.DeepEqual(t, clu.sit.Faults(), []string(nil))
+	assert.DeepEqual(t, clu.sit.Violations(), []string(nil))
 }
 
 // TestSettingsAreReloaded changes the settings file and sends SIGHUP. The
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -205,8 +205,8 @@
 // Zones returns the names of the availability zones.
 func (sit *Site) Zones() []string { return []string{zoneName(0), zoneName(1), zoneName(2)} }
 
-// Faults returns what the system did wrong, as the VMs saw it.
-func (sit *Site) Faults() []string {
+// Violations returns what the system did wrong, as the VMs saw it.
+func (sit *Site) Violations() []string {
 	sit.mu.Lock()
 	defer sit.mu.Unlock()
 	return slices.Clone(sit.faults)
