--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -159,7 +159,7 @@
 			return status == http.StatusOK && text == `{"state":"completed"}`
 		})
 	}
-	assert.Equal(t, clu.sit.Done(), 30*4)
+	assert.Equal(t, clu.sit.DoneTasks(), 30*4)
 	assert.Equal(t, clu.status(http.MethodPost, clu.jobURL(0, "/gate/", 3), "k1", jobBody), http.StatusOK)
 	assert.Equal(t, clu.status(http.MethodGet, clu.jobURL(0, "/gate/", 99), "k1", ""), http.StatusGone)
 	assert.Equal(t, clu.sit.Started(fmt.Sprintf("%016x", 3)), 4)
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -219,8 +219,8 @@
 	return sit.started[job]
 }
 
-// Done returns how many tasks have ended done.
-func (sit *Site) Done() int {
+// DoneTasks returns how many tasks have ended done.
+func (sit *Site) DoneTasks() int {
 	sit.mu.Lock()
 	defer sit.mu.Unlock()
 	return len(sit.done)
