--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -212,8 +212,8 @@
 	return slices.Clone(sit.faults)
 }
 
-// Started returns how many tasks of a job were started.
-func (sit *Site) Started(job string) int {
+// StartedTasks returns how many tasks of a job were started.
+func (sit *Site) StartedTasks(job string) int {
 	sit.mu.Lock()
 	defer sit.mu.Unlock()
 	return sit.started[job]
