--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -304,7 +304,7 @@
 			return text == `{"state":"completed"}`
 		})
 	}
-	assert.Assert(t, clu.sit.Advisor.Callers() >= 3, "%d entries queried the advisor", clu.sit.Advisor.Callers())
+	assert.Assert(t, clu.sit.Advisor.Connections() >= 3, "%d entries queried the advisor", clu.sit.Advisor.Connections())
 	assert.DeepEqual(t, clu.sit.Violations(), []string(nil))
 }
 
--- a/internal/standin/site/advisor.go
+++ b/internal/standin/site/advisor.go
@@ -58,8 +58,8 @@
 	return adv.turns[caller]
 }
 
-// Callers returns how many connections have asked.
-func (adv *Advisor) Callers() int {
+// Connections returns how many connections have asked.
+func (adv *Advisor) Connections() int {
 	adv.mu.Lock()
 	defer adv.mu.Unlock()
 	return len(adv.turns)
