--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -140,7 +140,7 @@
 	machines := []string{}
 	for i, wor := range run.sit.Workers {
 		if i%2 == run.waves%2 {
-			machines = append(machines, wor.Machine())
+			machines = append(machines, wor.MachineName())
 		}
 	}
 	run.sit.RequestWave(run.waves, machines, waveTime, waveCap)
--- a/internal/standin/site/machines.go
+++ b/internal/standin/site/machines.go
@@ -35,7 +35,7 @@
 		wri.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	at := slices.IndexFunc(sit.Workers, func(wor *Worker) bool { return wor.Machine() == ord.Machine })
+	at := slices.IndexFunc(sit.Workers, func(wor *Worker) bool { return wor.MachineName() == ord.Machine })
 	if at < 0 {
 		wri.WriteHeader(http.StatusBadRequest)
 		return
@@ -63,7 +63,7 @@
 	wor.mu.Lock()
 	defer wor.mu.Unlock()
 	return map[string]any{
-		"machine": wor.Machine(), "pool": wor.pool, "state": wor.state, "zone": wor.zone(),
+		"machine": wor.MachineName(), "pool": wor.pool, "state": wor.state, "zone": wor.zone(),
 		"labels": []string{"a", wor.rack()}, "id": wor.id,
 		"capacity": map[string]int64{"cpu": workerCPU, "mem-mb": workerMemory, "gpu": 0},
 	}
@@ -75,7 +75,7 @@
 	wor.mu.Lock()
 	defer wor.mu.Unlock()
 	if token < wor.token {
-		wor.sit.broken("%s orders for %s with token %d after token %d", holder, wor.Machine(), token, wor.token)
+		wor.sit.broken("%s orders for %s with token %d after token %d", holder, wor.MachineName(), token, wor.token)
 	}
 	wor.token = max(wor.token, token)
 }
@@ -101,7 +101,7 @@
 		Machines []string `json:"machines"`
 		Cap      int      `json:"cap"`
 	}
-	if raw := sit.Store.Value(fmt.Sprintf("op/wave/%d", number)); raw == nil || json.Unmarshal(raw, &wav) != nil || !slices.Contains(wav.Machines, wor.Machine()) {
+	if raw := sit.Store.Value(fmt.Sprintf("op/wave/%d", number)); raw == nil || json.Unmarshal(raw, &wav) != nil || !slices.Contains(wav.Machines, wor.MachineName()) {
 		return "wave"
 	}
 	wor.mu.Lock()
@@ -122,7 +122,7 @@
 		oth.mu.Unlock()
 	}
 	if down >= wav.Cap {
-		sit.broken("upkeep of %s begins while %d machines of wave %d are down", wor.Machine(), down, number)
+		sit.broken("upkeep of %s begins while %d machines of wave %d are down", wor.MachineName(), down, number)
 	}
 	wor.mu.Lock()
 	wor.served[number], wor.wave = true, number
--- a/internal/standin/site/worker.go
+++ b/internal/standin/site/worker.go
@@ -113,8 +113,8 @@
 // registrationLag is how long a registration outlasts its life.
 const registrationLag = 1500 * time.Millisecond
 
-// Machine names the machine.
-func (wor *Worker) Machine() string { return fmt.Sprintf("m-vm-%d", wor.index) }
+// MachineName names the machine.
+func (wor *Worker) MachineName() string { return fmt.Sprintf("m-vm-%d", wor.index) }
 
 // Crash ends the present life, if there is one, with all that runs there. The
 // next one begins after a while.
