--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -242,7 +242,7 @@
 	for i := range 12 {
 		switch i {
 		case 3:
-			clu.sit.Store.LoseAnswers(2)
+			clu.sit.Store.DropResponses(2)
 		case 6:
 			clu.sit.Store.Compact()
 		case 9:
--- a/internal/soak/strike.go
+++ b/internal/soak/strike.go
@@ -38,7 +38,7 @@
 		run.sit.Store.SetDown(true)
 		later(func() { run.sit.Store.SetDown(false) })
 	case StoreLost:
-		run.sit.Store.LoseAnswers(lostAnswers)
+		run.sit.Store.DropResponses(lostAnswers)
 	case StoreCompact:
 		run.sit.Store.Compact()
 	case KeyChange:
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -51,8 +51,8 @@
 	sto.down = down
 }
 
-// LoseAnswers lets a number of transactions be done and not answered.
-func (sto *Store) LoseAnswers(count int) {
+// DropResponses lets a number of transactions be done and not answered.
+func (sto *Store) DropResponses(count int) {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
 	sto.loseAnswers = count
