--- a/internal/standin/kvstore/kvstore.go
+++ b/internal/standin/kvstore/kvstore.go
@@ -74,8 +74,8 @@
 	sto.delay = delay
 }
 
-// LoseAnswers lets the next writes take effect without an answer.
-func (sto *Store) LoseAnswers(count int) {
+// DropResponses lets the next writes take effect without an answer.
+func (sto *Store) DropResponses(count int) {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
 	sto.loseNext = count
