--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -191,9 +191,9 @@
 	exe.fault = fault
 }
 
-// SetDoubling makes the executor run every request twice, as a broken system
+// SetDoubleRuns makes the executor run every request twice, as a broken system
 // would. It shows that the checks notice.
-func (exe *Executor) SetDoubling(doubling bool) {
+func (exe *Executor) SetDoubleRuns(doubling bool) {
 	exe.mu.Lock()
 	defer exe.mu.Unlock()
 	exe.doubling = doubling
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -119,7 +119,7 @@
 		if err != nil {
 			return err
 		}
-		exe.SetDoubling(fle.doubleRuns)
+		exe.SetDoubleRuns(fle.doubleRuns)
 		fle.Executors[id] = exe
 		address = exe.Address()
 	} else {
