--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -12,8 +12,8 @@
 	Name string `json:"name"`
 	// Checked counts the cases that were looked at; 0 means that the run did
 	// not exercise the invariant.
-	Checked int `json:"checked"`
-	Broken  int `json:"broken"`
+	Checked    int `json:"checked"`
+	Violations int `json:"broken"`
 	// Example describes one broken case.
 	Example string `json:"example,omitempty"`
 }
@@ -23,7 +23,7 @@
 	if holds {
 		return
 	}
-	inv.Broken++
+	inv.Violations++
 	if inv.Example == "" {
 		inv.Example = fmt.Sprintf(format, args...)
 	}
@@ -52,7 +52,7 @@
 // Broken reports whether any invariant broke.
 func (rep Report) Broken() bool {
 	for _, inv := range rep.Invariants {
-		if inv.Broken > 0 {
+		if inv.Violations > 0 {
 			return true
 		}
 	}
@@ -67,7 +67,7 @@
 		fmt.Sprintf("%-34s %8s %8s", "invariant", "checked", "broken"),
 	}
 	for _, inv := range rep.Invariants {
-		line := fmt.Sprintf("%-34s %8d %8d", inv.Name, inv.Checked, inv.Broken)
+		line := fmt.Sprintf("%-34s %8d %8d", inv.Name, inv.Checked, inv.Violations)
 		if inv.Example != "" {
 			line += "  " + inv.Example
 		}
