--- a/internal/cli/local.go
+++ b/internal/cli/local.go
@@ -135,7 +135,7 @@
 	} else {
 		err = rep.WriteText(cmd.out)
 	}
-	if err == nil && rep.Broken() {
+	if err == nil && rep.Violated() {
 		return errBroken
 	}
 	return err
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -49,8 +49,8 @@
 	Name      string  `json:"name"`
 }
 
-// Broken reports whether any invariant broke.
-func (rep Report) Broken() bool {
+// Violated reports whether any invariant broke.
+func (rep Report) Violated() bool {
 	for _, inv := range rep.Invariants {
 		if inv.Violations > 0 {
 			return true
