--- a/internal/core/scheduler/fleet.go
+++ b/internal/core/scheduler/fleet.go
@@ -8,55 +8,59 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/worker"
 )
 
-// Times and shares of the plan of moves.
+// Parameters of the planning of moves.
 const (
-	// fleetEvery is the time between two plans.
-	fleetEvery = 150 * time.Millisecond
-	// lateTime is in what time a pool should be able to do the work of a job that
-	// is late or nearly so.
-	lateTime = 700 * time.Millisecond
-	// usableTime is the part of the time to a job's deadline that is planned
-	// with; tasks don't fit into it without gaps.
-	usableTime = 0.7
-	// leadTime is for how long ahead the work that arrives meanwhile counts.
+	// movePlanInterval is the time between two plans.
+	movePlanInterval = 150 * time.Millisecond
+	// lateJobSpan is the time in which a pool should be able to finish a job
+	// that is late or almost late.
+	lateJobSpan = 700 * time.Millisecond
+	// usableTimeShare is the share of the time to a job's deadline that is
+	// planned with, as tasks do not fill it without gaps.
+	usableTimeShare = 0.7
+	// leadTime is how far ahead arriving work is planned for.
 	leadTime = 500 * time.Millisecond
-	// rateTime is over what time the rate of arriving work is averaged.
-	rateTime = 700 * time.Millisecond
-	// keepTime is for how long a pool keeps what it needed.
-	keepTime = 800 * time.Millisecond
-	// restTime is for how long the pools together keep what they needed. Turns of
-	// demand come back within seconds.
-	restTime = 20 * time.Second
-	// fullShare is the part of a machine that tasks fill before another one is
-	// needed; sizes don't fit without gaps.
-	fullShare = 0.9
-	// leastMachines is how many machines a pool that is used keeps.
-	leastMachines = 2
-	// movesShare is the part of the platform's rate of orders that moves use; the
-	// rest is for upkeep.
-	movesShare = 0.8
-	// moveLimit is after what time a move whose end wasn't seen is forgotten.
-	moveLimit = 10 * time.Second
+	// rateWindow is the time constant of the average rate of arriving work.
+	rateWindow = 700 * time.Millisecond
+	// peakWindow is how long a pool keeps the machines of a peak.
+	peakWindow = 800 * time.Millisecond
+	// totalPeakWindow is how long all pools together keep the machines of a
+	// peak. Demand shifts between pools and returns within seconds.
+	totalPeakWindow = 20 * time.Second
+	// targetUtilization is the share of a machine that tasks fill before another
+	// machine is wanted, as their sizes do not fit without gaps.
+	targetUtilization = 0.9
+	// minMachines is the minimum number of machines of a pool that is not on
+	// standby.
+	minMachines = 2
+	// moveOrderShare is the share of the rate limit for machine orders that
+	// moves may use; the remainder is for upkeep.
+	moveOrderShare = 0.8
+	// moveTimeout is the time after which a move whose end was not observed is
+	// dropped.
+	moveTimeout = 10 * time.Second
 )
 
-// demand is what a pool has been asked for.
+// demand measures the demand for a pool's machines.
 type demand struct {
-	// rate is the work that arrives, in cores; updated is when it was last
-	// averaged.
+	// rate is the average of the arriving work, in cores; updated is when it was
+	// last averaged.
 	rate    float64
 	updated time.Time
-	// arrived is the work that arrived since, in core-seconds.
+	// arrived is the work that has arrived since then, in core-seconds.
 	arrived float64
-	// peaks holds what the pool wanted of late.
+	// peaks holds the recent numbers of wanted machines.
 	peaks []peak
 }
 
+// peak is the number of machines that were wanted at a time.
 type peak struct {
 	at   time.Time
 	want int
 }
 
-// want notes what the pool wants and returns the most that it wanted of late.
+// want records the number of machines wanted now and returns the maximum
+// within the window.
 func (dem *demand) want(now time.Time, want int, within time.Duration) (keep int) {
 	dem.peaks = append(dem.peaks, peak{now, want})
 	for now.Sub(dem.peaks[0].at) > within {
@@ -68,34 +72,36 @@
 	return keep
 }
 
-// average brings the rate up to date.
+// average updates the rate with the work that has arrived since the last
+// update.
 func (dem *demand) average(now time.Time) {
 	span := now.Sub(dem.updated)
 	if dem.updated.IsZero() || span <= 0 {
 		dem.updated = now
 		return
 	}
-	weight := 1 - math.Exp(-span.Seconds()/rateTime.Seconds())
+	weight := 1 - math.Exp(-span.Seconds()/rateWindow.Seconds())
 	dem.rate += (dem.arrived/span.Seconds() - dem.rate) * weight
 	dem.arrived, dem.updated = 0, now
 }
 
-// pendingMove is a machine on its way to a pool.
+// pendingMove is the move of a machine to another pool.
 type pendingMove struct {
 	to string
-	// vm is the life that the move ended or will end.
+	// vm is the ID of the VM that the move ends.
 	vm    string
 	since time.Time
 }
 
-// arrive counts a job that was taken in towards its pool's demand.
-func (sta *State) arrive(liv *liveJob) {
+// countArrival adds the work of an accepted job to the demand for its pool.
+func (sta *State) countArrival(liv *liveJob) {
 	if liv.spec.IsLongRunning() || liv.restored {
 		return
 	}
 	sta.demandOf(sta.poolOf(liv)).arrived += liv.work * sta.runtimeRatios[liv.spec.Queue].factor()
 }
 
+// demandOf returns the demand of a pool, and creates it if necessary.
 func (sta *State) demandOf(pool string) *demand {
 	dem := sta.demands[pool]
 	if dem == nil {
@@ -105,18 +111,18 @@
 	return dem
 }
 
-// planMoves orders the moves of machines that are due.
+// planMoves orders the moves of machines between pools.
 func (sta *State) planMoves() {
-	if sta.now.Sub(sta.movesPlannedAt) < fleetEvery || sta.machines.listed.IsZero() {
+	if sta.now.Sub(sta.movesPlannedAt) < movePlanInterval || sta.machines.listed.IsZero() {
 		return
 	}
-	if !sta.maySteer() {
+	if !sta.mayOrderMachines() {
 		return
 	}
 	sta.movesPlannedAt = sta.now
-	pools := sta.fleetPools()
-	sta.notePools(pools)
-	moves := rebalance.Plan(pools, int(math.Ceil(sta.opt.MachineOrdersPerSecond*movesShare*fleetEvery.Seconds())), sta.spareMachines(pools), func(machine, pool string) bool { return !sta.forbiddenMoves[machine+" "+pool] })
+	pools := sta.rebalancePools()
+	sta.logPools(pools)
+	moves := rebalance.Plan(pools, int(math.Ceil(sta.opt.MachineOrdersPerSecond*moveOrderShare*movePlanInterval.Seconds())), sta.spareMachines(pools), func(machine, pool string) bool { return !sta.forbiddenMoves[machine+" "+pool] })
 	for _, mov := range moves {
 		mac := sta.machines.byName[mov.Machine]
 		if hos := sta.hosts[mac.VM]; hos != nil {
@@ -128,8 +134,8 @@
 	}
 }
 
-// spareMachines returns how many machines the pools don't need together, by the
-// most that they wanted within a while.
+// spareMachines returns the number of machines that may go to standby: those
+// above the total peak of all pools.
 func (sta *State) spareMachines(pools []rebalance.Pool) int {
 	have, want := 0, 0
 	for _, poo := range pools {
@@ -138,15 +144,15 @@
 			want += poo.Want
 		}
 	}
-	most := sta.totalDemand.want(sta.now, want, restTime)
-	if sta.now.Sub(sta.opt.Since) < restTime {
+	most := sta.totalDemand.want(sta.now, want, totalPeakWindow)
+	if sta.now.Sub(sta.opt.Since) < totalPeakWindow {
 		return 0
 	}
 	return max(0, have-most)
 }
 
-// notePools tells the log once a second what the pools have and want.
-func (sta *State) notePools(pools []rebalance.Pool) {
+// logPools logs once a second how many machines the pools have and want.
+func (sta *State) logPools(pools []rebalance.Pool) {
 	if sta.now.Sub(sta.poolsLoggedAt) < time.Second {
 		return
 	}
@@ -158,50 +164,50 @@
 	sta.logDecision("pools", "", fields)
 }
 
-// fleetPools describes the pools for the plan.
-func (sta *State) fleetPools() (pools []rebalance.Pool) {
+// rebalancePools returns the pools as input for rebalance.Plan.
+func (sta *State) rebalancePools() (pools []rebalance.Pool) {
 	incoming := sta.incoming()
-	needed := sta.needed()
+	neededCores := sta.neededCores()
 	for i := range sta.catalog.Pools {
 		poo := &sta.catalog.Pools[i]
-		flp := rebalance.Pool{Name: poo.Name, Standby: poo.Standby, Have: incoming[poo.Name]}
+		rbp := rebalance.Pool{Name: poo.Name, Standby: poo.Standby, Have: incoming[poo.Name]}
 		if poo.Standby {
-			flp.Empty = sta.standbyMachines(poo.Name)
-			flp.Have = len(flp.Empty)
-			pools = append(pools, flp)
+			rbp.Empty = sta.standbyMachines(poo.Name)
+			rbp.Have = len(rbp.Empty)
+			pools = append(pools, rbp)
 			continue
 		}
 		dem := sta.demandOf(poo.Name)
 		dem.average(sta.now)
-		cores, lasting, machineCores := 0.0, 0, 0.0
+		cores, longRunningHosts, machineCores := 0.0, 0, 0.0
 		for _, hos := range sta.pools[poo.Name] {
 			if !hos.fenced && hos.failedPolls == 0 && !hos.vm.Leaving {
-				flp.Have++
+				rbp.Have++
 			}
 			if !hos.usable(sta.now) || sta.zonesOut[hos.vm.AZ] {
 				continue
 			}
-			flp.Have++
+			rbp.Have++
 			machineCores = max(machineCores, float64(hos.vm.Capacity.CPU)/1000)
-			lasts := hos.lastingCores()
-			cores += lasts
-			if lasts > 0 {
-				lasting++
+			longRunning := hos.longRunningCores()
+			cores += longRunning
+			if longRunning > 0 {
+				longRunningHosts++
 			}
 			if name, ok := sta.machines.byVM[hos.vm.ID]; ok && len(hos.runList) == 0 {
-				flp.Empty = append(flp.Empty, rebalance.IdleMachine{Machine: name, IdleFor: sta.now.Sub(hos.idleSince)})
+				rbp.Empty = append(rbp.Empty, rebalance.IdleMachine{Machine: name, IdleFor: sta.now.Sub(hos.idleSince)})
 			}
 		}
-		cores += needed[poo.Name] + dem.rate*leadTime.Seconds()
-		flp.Want = max(leastMachines, lasting, int(math.Ceil(cores/(sta.largestMachine(machineCores)*fullShare))))
-		flp.Keep = dem.want(sta.now, flp.Want, keepTime)
-		pools = append(pools, flp)
+		cores += neededCores[poo.Name] + dem.rate*leadTime.Seconds()
+		rbp.Want = max(minMachines, longRunningHosts, int(math.Ceil(cores/(sta.coresPerMachine(machineCores)*targetUtilization))))
+		rbp.Keep = dem.want(sta.now, rbp.Want, peakWindow)
+		pools = append(pools, rbp)
 	}
 	return pools
 }
 
-// incoming counts the machines on their way to each pool, and those that are up
-// and whose VMs have not registered yet.
+// incoming counts, by pool, the machines that move there, and those that are
+// up without a registered VM.
 func (sta *State) incoming() map[string]int {
 	counts := map[string]int{}
 	for _, mac := range sta.machines.byName {
@@ -212,7 +218,7 @@
 	for name, mov := range sta.moves {
 		mac := sta.machines.byName[name]
 		back := mac.VM != mov.vm && mac.VM != "" && sta.hosts[mac.VM] != nil
-		if back || sta.now.Sub(mov.since) > moveLimit {
+		if back || sta.now.Sub(mov.since) > moveTimeout {
 			delete(sta.moves, name)
 			continue
 		}
@@ -237,7 +243,7 @@
 	return idle
 }
 
-// inUpkeep reports whether a machine's upkeep is ordered.
+// inUpkeep reports whether the upkeep of a machine is ordered or in progress.
 func (sta *State) inUpkeep(name string) bool {
 	for _, wav := range sta.waves {
 		if wav.ordered[name] {
@@ -250,9 +256,9 @@
 	return false
 }
 
-// largestMachine returns the cores of a pool's machines, or of the largest
-// machine for a pool that has none now.
-func (sta *State) largestMachine(cores float64) float64 {
+// coresPerMachine returns the given cores of a pool's largest machine or, if
+// the pool has none, those of the largest machine of all.
+func (sta *State) coresPerMachine(cores float64) float64 {
 	if cores > 0 {
 		return cores
 	}
@@ -262,9 +268,9 @@
 	return max(1, cores)
 }
 
-// needed returns the cores with which each pool would do the work of its jobs
-// by their deadlines, but no more than their tasks can use at once.
-func (sta *State) needed() map[string]float64 {
+// neededCores returns the cores that each pool needs to finish its jobs by
+// their deadlines, limited to what their tasks can use concurrently.
+func (sta *State) neededCores() map[string]float64 {
 	sums := map[string]float64{}
 	usable := map[string]float64{}
 	for _, liv := range sta.jobList {
@@ -277,13 +283,13 @@
 		for _, occ := range liv.occs {
 			for i := range occ.stages {
 				stg := &occ.stages[i]
-				sum += stg.work(factor)
+				sum += stg.remainingWork(factor)
 				if stg.blockers == 0 {
 					usable[pool] += stg.step.Reservation().Cores() * float64(stg.left)
 				}
 			}
 		}
-		span := max(lateTime, time.Duration(usableTime*float64(liv.deadline.Sub(sta.now))))
+		span := max(lateJobSpan, time.Duration(usableTimeShare*float64(liv.deadline.Sub(sta.now))))
 		sums[pool] += sum / span.Seconds()
 	}
 	for pool, sum := range sums {
@@ -292,18 +298,18 @@
 	return sums
 }
 
-// lastingCores returns the cores of the tasks that last on a VM.
-func (hos *host) lastingCores() float64 {
+// longRunningCores returns the cores of the long-running tasks on a host.
+func (hos *host) longRunningCores() float64 {
 	sum := 0.0
-	for _, hel := range hos.runList {
-		if hel.stage != nil && hel.stage.step.LongRunning {
-			sum += hel.stage.step.Reservation().Cores()
+	for _, pla := range hos.runList {
+		if pla.stage != nil && pla.stage.step.LongRunning {
+			sum += pla.stage.step.Reservation().Cores()
 		}
 	}
 	return sum
 }
 
-// moveAnswered takes in the answer to a move.
+// moveAnswered handles the answer to the order to move a machine.
 func (sta *State) moveAnswered(evt MachineAnswered) {
 	mov, ok := sta.moves[evt.Machine]
 	if !ok {
@@ -318,12 +324,12 @@
 		}
 	case worker.MachineUnknown:
 		if hos != nil {
-			sta.orderFailed(hos, evt.Result)
+			sta.machineOrderFailed(hos, evt.Result)
 		}
 	default:
 		delete(sta.moves, evt.Machine)
 		if hos != nil {
-			sta.orderFailed(hos, evt.Result)
+			sta.machineOrderFailed(hos, evt.Result)
 		}
 		if evt.Result == worker.MachineInvalid {
 			sta.forbiddenMoves[evt.Machine+" "+mov.to] = true
