--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -33,7 +33,7 @@
 	t.Parallel()
 	exit, rep := runDemo(t)
 	for _, inv := range rep.Invariants {
-		assert.Equal(t, inv.Violations, 0, "%+v", inv)
+		assert.Equal(t, inv.Violated, 0, "%+v", inv)
 	}
 	assert.Equal(t, exit, ExitOK)
 	assert.Assert(t, rep.Answered > 0)
@@ -47,7 +47,7 @@
 	t.Parallel()
 	exit, rep := runDemo(t, "--brief", "--double-runs")
 	assert.Equal(t, exit, ExitFailed)
-	assert.Assert(t, invariant(t, rep, "unrepeatable_runs_at_most_once").Violations > 0)
+	assert.Assert(t, invariant(t, rep, "unrepeatable_runs_at_most_once").Violated > 0)
 }
 
 func TestDemoShowsWhatItDidNotExercise(t *testing.T) {
--- a/internal/demo/checks.go
+++ b/internal/demo/checks.go
@@ -55,7 +55,7 @@
 func (dem *demonstration) checkOnePool() Invariant {
 	inv := Invariant{Name: "vm_in_one_pool"}
 	inv.Checked = dem.watch.mom.samples
-	inv.Violations = dem.watch.mom.doubledVMs
+	inv.Violated = dem.watch.mom.doubledVMs
 	return inv
 }
 
@@ -187,7 +187,7 @@
 	inv := Invariant{Name: "config_in_force_and_never_reverts"}
 	mom := &dem.watch.mom
 	inv.Checked = mom.samples
-	inv.Violations = mom.regressions
+	inv.Violated = mom.regressions
 	for _, span := range mom.propagations {
 		inv.check(span <= inForceWithin, "a change took %s", span)
 	}
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -12,8 +12,8 @@
 	Name string `json:"name"`
 	// Checked counts the cases that were looked at; 0 means that the run did
 	// not exercise the invariant.
-	Checked    int `json:"checked"`
-	Violations int `json:"broken"`
+	Checked  int `json:"checked"`
+	Violated int `json:"broken"`
 	// Example describes one broken case.
 	Example string `json:"example,omitempty"`
 }
@@ -23,7 +23,7 @@
 	if holds {
 		return
 	}
-	inv.Violations++
+	inv.Violated++
 	if inv.Example == "" {
 		inv.Example = fmt.Sprintf(format, args...)
 	}
@@ -52,7 +52,7 @@
 // Violated reports whether any invariant broke.
 func (rep Report) Violated() bool {
 	for _, inv := range rep.Invariants {
-		if inv.Violations > 0 {
+		if inv.Violated > 0 {
 			return true
 		}
 	}
@@ -67,7 +67,7 @@
 		fmt.Sprintf("%-34s %8s %8s", "invariant", "checked", "broken"),
 	}
 	for _, inv := range rep.Invariants {
-		line := fmt.Sprintf("%-34s %8d %8d", inv.Name, inv.Checked, inv.Violations)
+		line := fmt.Sprintf("%-34s %8d %8d", inv.Name, inv.Checked, inv.Violated)
 		if inv.Example != "" {
 			line += "  " + inv.Example
 		}
