--- a/internal/standin/kvstore/calls.go
+++ b/internal/standin/kvstore/calls.go
@@ -27,11 +27,11 @@
 	Kvs    []keyValue `json:"kvs,omitempty"`
 }
 
-func (sto *Store) rangeOver(_ time.Time, req rangeRequest) rangeResponse {
+func (sto *Store) rangeKeys(_ time.Time, req rangeRequest) rangeResponse {
 	rsp := rangeResponse{Header: header{sto.revision}}
-	for _, key := range sto.inRange(string(req.Key), string(req.RangeEnd)) {
+	for _, key := range sto.keysInRange(string(req.Key), string(req.RangeEnd)) {
 		itm := sto.keys[key]
-		kvl := keyValue{Key: []byte(key), ModRevision: itm.mod}
+		kvl := keyValue{Key: []byte(key), ModRevision: itm.modRevision}
 		if !req.KeysOnly {
 			kvl.Value = itm.value
 		}
@@ -40,7 +40,8 @@
 	return rsp
 }
 
-func (sto *Store) inRange(from, end string) []string {
+// keysInRange returns the keys in [from, end), or only from if end is empty.
+func (sto *Store) keysInRange(from, end string) []string {
 	var keys []string
 	for _, key := range sto.sortedKeys() {
 		if key == from || (end != "" && key >= from && key < end) {
@@ -70,9 +71,11 @@
 	Succeeded bool   `json:"succeeded,omitempty"`
 }
 
+// txn applies the operations if every compared key has the expected revision and
+// every lease of a put exists.
 func (sto *Store) txn(_ time.Time, req txnRequest) txnResponse {
 	for _, cmp := range req.Compare {
-		if sto.keys[string(cmp.Key)].mod != cmp.ModRevision {
+		if sto.keys[string(cmp.Key)].modRevision != cmp.ModRevision {
 			return txnResponse{Header: header{sto.revision}}
 		}
 	}
@@ -87,11 +90,11 @@
 	for _, op := range req.Success {
 		if op.Put != nil {
 			key := string(op.Put.Key)
-			sto.keys[key] = item{value: op.Put.Value, mod: sto.revision, lease: op.Put.Lease}
+			sto.keys[key] = item{value: op.Put.Value, modRevision: sto.revision, lease: op.Put.Lease}
 			sto.notify(key)
 		}
 		if op.Delete != nil {
-			for _, key := range sto.inRange(string(op.Delete.Key), string(op.Delete.RangeEnd)) {
+			for _, key := range sto.keysInRange(string(op.Delete.Key), string(op.Delete.RangeEnd)) {
 				delete(sto.keys, key)
 				sto.notify(key)
 			}
@@ -115,16 +118,18 @@
 }
 
 func (sto *Store) grant(now time.Time, req leaseGrantRequest) leaseResponse {
-	sto.next++
+	sto.lastLeaseID++
 	ttl := time.Duration(req.TTL) * time.Second
-	sto.leases[sto.next] = lease{ttl: ttl, expires: now.Add(ttl)}
-	return leaseResponse{Header: header{sto.revision}, ID: sto.next, TTL: req.TTL}
+	sto.leases[sto.lastLeaseID] = lease{ttl: ttl, expires: now.Add(ttl)}
+	return leaseResponse{Header: header{sto.revision}, ID: sto.lastLeaseID, TTL: req.TTL}
 }
 
 type keepAliveResponse struct {
 	Result leaseResponse `json:"result"`
 }
 
+// keepAlive renews a lease. For an unknown lease the response has a TTL of 0, as
+// in etcd.
 func (sto *Store) keepAlive(now time.Time, req leaseRequest) keepAliveResponse {
 	lse, ok := sto.leases[req.ID]
 	if !ok {
@@ -142,9 +147,11 @@
 	return leaseResponse{Header: header{sto.revision}, ID: req.ID}
 }
 
-// watchBuffer is the number of changes that may wait for a slow watcher.
+// watchBuffer is the number of changes buffered for a slow watcher.
 const watchBuffer = 64
 
+// watch streams the changes of one key until the caller leaves or an outage
+// starts.
 func (sto *Store) watch(wrt http.ResponseWriter, hrq *http.Request) {
 	var req struct {
 		Create struct {
--- a/internal/standin/kvstore/kvstore.go
+++ b/internal/standin/kvstore/kvstore.go
@@ -1,6 +1,6 @@
 // Package kvstore is a stand-in for the platform's key-value store. It serves
-// the part of etcd's JSON gateway that the entries use, from memory, with
-// switches for outages, slowness and lost answers.
+// the part of etcd's JSON gateway that the entries use, from memory, and can
+// inject outages, latency and lost responses.
 package kvstore
 
 import (
@@ -13,24 +13,25 @@
 
 // Store is the stand-in. It is safe for concurrent use.
 type Store struct {
-	mu       sync.Mutex
-	revision int64
-	keys     map[string]item
-	leases   map[int64]lease
-	next     int64
-	watchers map[chan change]string
-	calls    map[string]int
+	mu          sync.Mutex
+	revision    int64
+	keys        map[string]item
+	leases      map[int64]lease
+	lastLeaseID int64
+	watchers    map[chan change]string
+	calls       map[string]int
 
 	down  bool
 	delay time.Duration
-	// loseNext is how many answers to writes are lost after taking effect.
-	loseNext int
+	// dropResponses is the number of further transactions that take effect but get
+	// no response.
+	dropResponses int
 }
 
 type item struct {
-	value []byte
-	mod   int64
-	lease int64
+	value       []byte
+	modRevision int64
+	lease       int64
 }
 
 type lease struct {
@@ -53,8 +54,8 @@
 	}
 }
 
-// SetDown begins or ends an outage: no call is answered or takes effect, and
-// watches break off.
+// SetDown starts or ends an outage. During an outage calls neither take effect
+// nor get a response. Its start closes all watches.
 func (sto *Store) SetDown(down bool) {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
@@ -67,21 +68,22 @@
 	}
 }
 
-// SetDelay makes every call take a while.
+// SetDelay sets the latency that is added to every call.
 func (sto *Store) SetDelay(delay time.Duration) {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
 	sto.delay = delay
 }
 
-// DropResponses lets the next writes take effect without an answer.
+// DropResponses makes the next count transactions take effect but close the
+// connection without a response.
 func (sto *Store) DropResponses(count int) {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
-	sto.loseNext = count
+	sto.dropResponses = count
 }
 
-// Calls returns how many calls of each path were made.
+// Calls returns the number of calls by path.
 func (sto *Store) Calls() map[string]int {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
@@ -108,10 +110,10 @@
 	return keys
 }
 
-// Handler serves the gateway.
+// Handler returns the handler of the gateway.
 func (sto *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v3/kv/range", handle(sto, sto.rangeOver))
+	mux.HandleFunc("POST /v3/kv/range", handle(sto, sto.rangeKeys))
 	mux.HandleFunc("POST /v3/kv/txn", handle(sto, sto.txn))
 	mux.HandleFunc("POST /v3/lease/grant", handle(sto, sto.grant))
 	mux.HandleFunc("POST /v3/lease/keepalive", handle(sto, sto.keepAlive))
@@ -120,8 +122,8 @@
 	return mux
 }
 
-// handle decodes a request, applies the switches around the call, and writes
-// the answer.
+// handle returns a handler that decodes a request, makes the call under the lock
+// with the injected faults, and encodes the response.
 func handle[Q, S any](sto *Store, call func(now time.Time, req Q) S) http.HandlerFunc {
 	return func(wrt http.ResponseWriter, hrq *http.Request) {
 		var req Q
@@ -137,12 +139,12 @@
 		now := time.Now()
 		sto.expire(now)
 		rsp := call(now, req)
-		lost := sto.loseNext > 0 && hrq.URL.Path == "/v3/kv/txn"
-		if lost {
-			sto.loseNext--
+		drop := sto.dropResponses > 0 && hrq.URL.Path == "/v3/kv/txn"
+		if drop {
+			sto.dropResponses--
 		}
 		sto.mu.Unlock()
-		if lost {
+		if drop {
 			panic(http.ErrAbortHandler)
 		}
 		wrt.Header().Set("Content-Type", "application/json")
@@ -150,8 +152,8 @@
 	}
 }
 
-// admit counts a call, waits as long as the store is slow, and reports whether
-// the call goes on.
+// admit counts a call, waits for the injected latency, and reports whether the
+// call may proceed, which it may not during an outage.
 func (sto *Store) admit(hrq *http.Request) bool {
 	sto.mu.Lock()
 	sto.calls[hrq.URL.Path]++
@@ -166,6 +168,7 @@
 	return !down
 }
 
+// expire drops the leases that have expired, with their keys.
 func (sto *Store) expire(now time.Time) {
 	for id, lse := range sto.leases {
 		if now.After(lse.expires) {
@@ -185,6 +188,8 @@
 	}
 }
 
+// notify sends a change of a key to its watchers. A watcher whose buffer is full
+// misses it.
 func (sto *Store) notify(key string) {
 	for wch, watched := range sto.watchers {
 		if watched != key {
@@ -197,7 +202,7 @@
 	}
 }
 
-// Dump returns every value, in the order of the keys.
+// Dump returns all values, sorted by key.
 func (sto *Store) Dump() []string {
 	sto.mu.Lock()
 	defer sto.mu.Unlock()
