--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -1,6 +1,7 @@
-// Package executor is a stand-in for an upstream: an executor with slots and a
-// bound on its connections. It counts every run, and has switches for a
-// graceful shutdown, silent connections, truncated answers and failures.
+// Package executor is a stand-in for an upstream: an executor on a VM, with a
+// fixed number of slots. It records every run of a request and the peak number of
+// open connections, and can inject faults: graceful shutdown, silent connections,
+// truncated responses and lost responses.
 package executor
 
 import (
@@ -16,29 +17,30 @@
 	"github.com/balsamgauge/balsamgauge/internal/upstream"
 )
 
-// Headers by which a caller of the stand-in says what a request should do.
+// Headers with which a caller of the stand-in controls the run of a request.
 const (
-	// HeaderRunID names the request, so that its runs can be counted.
+	// HeaderRunID identifies the request, so that its runs can be counted.
 	HeaderRunID = "Test-Run-Id"
-	// HeaderTeam names the team that the caller acts for.
+	// HeaderTeam is the name of the caller's team.
 	HeaderTeam = "Test-Team"
-	// HeaderWork is how long the request runs, as in "20ms".
+	// HeaderWork is the duration of the run, as in "20ms".
 	HeaderWork = "Test-Work"
 )
 
-// Fault is what goes wrong with the next request.
+// Fault is a fault injected into every request.
 type Fault int
 
 // The faults.
 const (
 	FaultNone Fault = iota
-	// FaultCloseBefore closes the connection before anything ran.
+	// FaultCloseBefore closes the connection without running the request.
 	FaultCloseBefore
-	// FaultCloseAfter runs the request and closes the connection unanswered.
+	// FaultCloseAfter runs the request and closes the connection without a response.
 	FaultCloseAfter
-	// FaultTruncate runs the request and sends only a part of the answer.
+	// FaultTruncate runs the request and closes the connection in the middle of the
+	// response.
 	FaultTruncate
-	// FaultSilent runs the request and never answers.
+	// FaultSilent runs the request and never responds.
 	FaultSilent
 )
 
@@ -48,7 +50,7 @@
 	Team  string
 	VM    string
 	Began time.Time
-	// Ended is zero while the run goes on.
+	// Ended is zero while the run is in progress.
 	Ended time.Time
 }
 
@@ -57,7 +59,8 @@
 type Recorder struct {
 	mu   sync.Mutex
 	runs []*Run
-	// peaks holds the most runs of a team that went on at once.
+	// running and peaks hold the current and the highest number of concurrent runs
+	// by team.
 	running map[string]int
 	peaks   map[string]int
 }
@@ -82,7 +85,7 @@
 	rec.running[run.Team]--
 }
 
-// Runs returns the runs so far, in the order in which they began.
+// Runs returns the runs so far, in the order of their start.
 func (rec *Recorder) Runs() []Run {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -93,7 +96,7 @@
 	return runs
 }
 
-// Peak returns the most runs of a team that went on at once.
+// Peak returns the highest number of concurrent runs of a team.
 func (rec *Recorder) Peak(team string) int {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
@@ -108,24 +111,26 @@
 	server   *http.Server
 	listener net.Listener
 
-	mu       sync.Mutex
-	fault    Fault
-	draining bool
-	doubling bool
-	idle     map[net.Conn]bool
-	open     map[net.Conn]bool
-	// silent holds the connections on which nothing arrives any more.
+	mu         sync.Mutex
+	fault      Fault
+	draining   bool
+	doubleRuns bool
+	idle       map[net.Conn]bool
+	open       map[net.Conn]bool
+	// silent holds the connections on which requests get no response.
 	silent map[net.Conn]bool
 
-	// connsMu is apart, for connections are closed while mu is held.
+	// connsMu guards conns and peak. It is separate from mu, because CloseIdle closes
+	// connections, and so changes conns, while it holds mu.
 	connsMu sync.Mutex
-	// conns counts the open connections, peak the most at once.
+	// conns is the number of open connections, peak its highest value.
 	conns int
 	peak  int
 }
 
-// countingListener counts the connections that are open. The server tells of a
-// closed connection only some time after the other end has learned of it.
+// countingListener counts the open connections. The server's ConnState hook does
+// not serve for this: it reports a closed connection only some time after the
+// other end has seen the close.
 type countingListener struct {
 	net.Listener
 	exe *Executor
@@ -137,34 +142,34 @@
 	if err != nil {
 		return nil, err
 	}
-	lis.exe.count(1)
+	lis.exe.addConns(1)
 	return &countedConn{Conn: conn, exe: lis.exe}, nil
 }
 
-// countedConn is no longer counted once it begins to close.
+// countedConn is a connection that is counted until Close is first called.
 type countedConn struct {
 	net.Conn
 	exe  *Executor
 	once sync.Once
 }
 
-// Close closes the connection.
+// Close removes the connection from the count and closes it.
 func (con *countedConn) Close() error {
-	con.once.Do(func() { con.exe.count(-1) })
+	con.once.Do(func() { con.exe.addConns(-1) })
 	return con.Conn.Close()
 }
 
-func (exe *Executor) count(change int) {
+func (exe *Executor) addConns(delta int) {
 	exe.connsMu.Lock()
 	defer exe.connsMu.Unlock()
-	exe.conns += change
+	exe.conns += delta
 	exe.peak = max(exe.peak, exe.conns)
 }
 
-// connKey is the key of a request's connection in its context.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
-// Start starts an executor on a loopback address.
+// Start starts an executor on a free loopback port.
 func Start(vmID string, slots int, rec *Recorder) (exe *Executor, err error) {
 	exe = &Executor{vm: vmID, slots: make(chan struct{}, slots), recorder: rec, idle: map[net.Conn]bool{}, open: map[net.Conn]bool{}, silent: map[net.Conn]bool{}}
 	exe.listener, err = net.Listen("tcp", "127.0.0.1:0")
@@ -172,7 +177,7 @@
 		return nil, fmt.Errorf("start executor %s: %w", vmID, err)
 	}
 	exe.server = &http.Server{
-		Handler: http.HandlerFunc(exe.serve), ConnState: exe.countConn,
+		Handler: http.HandlerFunc(exe.serve), ConnState: exe.trackConn,
 		ConnContext: func(ctx context.Context, conn net.Conn) context.Context {
 			return context.WithValue(ctx, connKey{}, conn)
 		},
@@ -184,23 +189,24 @@
 // Address returns the address of the executor.
 func (exe *Executor) Address() string { return exe.listener.Addr().String() }
 
-// SetFault makes every request from now on go wrong, until FaultNone.
+// SetFault injects a fault into every request from now on. FaultNone ends it.
 func (exe *Executor) SetFault(fault Fault) {
 	exe.mu.Lock()
 	defer exe.mu.Unlock()
 	exe.fault = fault
 }
 
-// SetDoubleRuns makes the executor run every request twice, as a broken system
-// would. It shows that the checks notice.
-func (exe *Executor) SetDoubleRuns(doubling bool) {
+// SetDoubleRuns makes the executor run every request twice, as a faulty system
+// would, to show that the checks detect it.
+func (exe *Executor) SetDoubleRuns(doubleRuns bool) {
 	exe.mu.Lock()
 	defer exe.mu.Unlock()
-	exe.doubling = doubling
+	exe.doubleRuns = doubleRuns
 }
 
-// Drain begins a graceful shutdown: running requests end, and their answers say
-// that the connection closes. New requests are refused as not run.
+// Drain starts a graceful shutdown: running requests complete, and their
+// responses announce that the connection closes. New requests are refused as not
+// run.
 func (exe *Executor) Drain() {
 	exe.mu.Lock()
 	exe.draining = true
@@ -208,24 +214,25 @@
 	exe.server.SetKeepAlivesEnabled(false)
 }
 
-// Stop ends the executor after its running requests.
+// Stop shuts the executor down once its running requests have completed.
 func (exe *Executor) Stop(ctx context.Context) error { return exe.server.Shutdown(ctx) }
 
-// Kill ends the executor at once.
+// Kill closes the executor and all its connections without waiting for requests.
 func (exe *Executor) Kill() {
 	_ = exe.listener.Close()
 	_ = exe.server.Close()
 }
 
-// PeakConns returns the most connections that were open at once.
+// PeakConns returns the highest number of connections that were open at the same
+// time.
 func (exe *Executor) PeakConns() int {
 	exe.connsMu.Lock()
 	defer exe.connsMu.Unlock()
 	return exe.peak
 }
 
-// SilenceOpen makes every open connection silent for good, as when something
-// between the two ends has lost track of it. New ones work.
+// SilenceOpen makes every open connection permanently silent, as when a NAT or
+// firewall between the two ends has dropped its state. New connections work.
 func (exe *Executor) SilenceOpen() {
 	exe.mu.Lock()
 	defer exe.mu.Unlock()
@@ -241,7 +248,7 @@
 	return exe.silent[conn]
 }
 
-// CloseIdle closes the connections that are idle.
+// CloseIdle closes the idle connections.
 func (exe *Executor) CloseIdle() {
 	exe.mu.Lock()
 	defer exe.mu.Unlock()
@@ -250,7 +257,8 @@
 	}
 }
 
-func (exe *Executor) countConn(conn net.Conn, sta http.ConnState) {
+// trackConn updates the sets of open and idle connections.
+func (exe *Executor) trackConn(conn net.Conn, sta http.ConnState) {
 	exe.mu.Lock()
 	defer exe.mu.Unlock()
 	delete(exe.idle, conn)
@@ -270,7 +278,7 @@
 		return
 	}
 	exe.mu.Lock()
-	fault, draining, doubling := exe.fault, exe.draining, exe.doubling
+	fault, draining, doubleRuns := exe.fault, exe.draining, exe.doubleRuns
 	exe.mu.Unlock()
 	if draining {
 		wrt.Header().Set(upstream.NotRunHeader, "draining")
@@ -287,21 +295,23 @@
 	exe.slots <- struct{}{}
 	defer func() { <-exe.slots }()
 	exe.work(req)
-	if doubling {
+	if doubleRuns {
 		exe.work(req)
 	}
-	exe.answer(wrt, req, fault, body)
+	exe.respond(wrt, req, fault, body)
 }
 
+// work records a run and takes the time that the request asks for.
 func (exe *Executor) work(req *http.Request) {
-	span, _ := time.ParseDuration(req.Header.Get(HeaderWork))
+	duration, _ := time.ParseDuration(req.Header.Get(HeaderWork))
 	run := &Run{RunID: req.Header.Get(HeaderRunID), Team: req.Header.Get(HeaderTeam), VM: exe.vm, Began: time.Now()}
 	exe.recorder.begin(run)
-	time.Sleep(span)
+	time.Sleep(duration)
 	exe.recorder.end(run)
 }
 
-func (exe *Executor) answer(wrt http.ResponseWriter, req *http.Request, fault Fault, body []byte) {
+// respond writes the response, which echoes the request, or injects the fault.
+func (exe *Executor) respond(wrt http.ResponseWriter, req *http.Request, fault Fault, body []byte) {
 	switch fault {
 	case FaultCloseAfter:
 		panic(http.ErrAbortHandler)
