--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -1,5 +1,6 @@
-// Package taskworker is a stand-in for a worker of the platform. It runs tasks
-// under leases, fences them by attempt, and stops those whose lease lapses.
+// Package taskworker is a stand-in for a worker, the process on one of the
+// platform's VMs that runs tasks. It runs each task under a lease, fences tasks by
+// attempt, and fails those whose lease lapses.
 package taskworker
 
 import (
@@ -16,19 +17,18 @@
 	"github.com/balsamgauge/balsamgauge/internal/workerclient"
 )
 
-// Payload words that tell the stand-in what a task should do. Anything else is
-// a duration.
+// Payloads with a special meaning. Any other payload is the duration of the task.
 const (
 	// PayloadFail makes a task fail.
 	PayloadFail = "fail"
 )
 
-// Run is one start of a task.
+// Run is one start of an attempt of a task.
 type Run struct {
 	TaskID  string
 	Attempt int
 	VM      string
-	// Began is when the task was started.
+	// Began is the time of the start.
 	Began time.Time
 }
 
@@ -59,18 +59,21 @@
 	listener net.Listener
 
 	mu    sync.Mutex
-	tasks map[string]*running
-	// fences holds the highest attempt that was asked about or started.
+	tasks map[string]*taskRun
+	// fences holds, for each task, the highest attempt that was started, stopped or
+	// reported as unknown. Starts of an attempt up to it are refused.
 	fences  map[string]int
 	failing bool
 }
 
-type running struct {
+// taskRun is a task on the worker, also after its end.
+type taskRun struct {
 	attempt int
-	// due is when the task ends if nothing stops it, at its present speed.
+	// due is the time at which the task ends at its current speed.
 	due time.Time
 	// percent is the speed, from 1 to 100.
 	percent int
+	// expires is the end of the lease.
 	expires time.Time
 	state   event.WorkerState
 	result  []byte
@@ -78,9 +81,9 @@
 	fails   bool
 }
 
-// Start starts a worker on a loopback address.
+// Start starts a worker on a free loopback port.
 func Start(vmID string, rec *Recorder) (wkr *Worker, err error) {
-	wkr = &Worker{vm: vmID, recorder: rec, tasks: map[string]*running{}, fences: map[string]int{}}
+	wkr = &Worker{vm: vmID, recorder: rec, tasks: map[string]*taskRun{}, fences: map[string]int{}}
 	wkr.listener, err = net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, fmt.Errorf("start worker %s: %w", vmID, err)
@@ -99,19 +102,21 @@
 // Address returns the address of the worker.
 func (wkr *Worker) Address() string { return wkr.listener.Addr().String() }
 
-// SetFailing makes every task that starts from now on fail.
+// SetFailing makes tasks that start from now on fail, or succeed again.
 func (wkr *Worker) SetFailing(failing bool) {
 	wkr.mu.Lock()
 	defer wkr.mu.Unlock()
 	wkr.failing = failing
 }
 
-// Kill ends the worker at once, with all its tasks.
+// Kill closes the worker and its connections without waiting for tasks.
 func (wkr *Worker) Kill() {
 	_ = wkr.listener.Close()
 	_ = wkr.server.Close()
 }
 
+// handle returns a handler that decodes a request, makes the call and encodes the
+// response.
 func handle[Q, S any](call func(now time.Time, req Q) (S, int)) http.HandlerFunc {
 	return func(wrt http.ResponseWriter, hrq *http.Request) {
 		var req Q
@@ -127,6 +132,7 @@
 
 type empty struct{}
 
+// start starts an attempt of a task, from its checkpoint if it has one.
 func (wkr *Worker) start(now time.Time, req workerclient.StartRequest) (empty, int) {
 	wkr.mu.Lock()
 	defer wkr.mu.Unlock()
@@ -135,13 +141,13 @@
 	}
 	wkr.fences[req.TaskID] = req.Attempt
 	text := strings.TrimSpace(string(req.Payload))
-	span, _ := time.ParseDuration(text)
-	if left, err := time.ParseDuration(string(req.Checkpoint)); err == nil {
-		span = left
+	duration, _ := time.ParseDuration(text)
+	if remaining, err := time.ParseDuration(string(req.Checkpoint)); err == nil {
+		duration = remaining
 	}
-	wkr.tasks[req.TaskID] = &running{
+	wkr.tasks[req.TaskID] = &taskRun{
 		attempt: req.Attempt,
-		due:     now.Add(span),
+		due:     now.Add(duration),
 		percent: 100,
 		expires: now.Add(time.Duration(req.LeaseMS) * time.Millisecond),
 		state:   event.WorkerRunning,
@@ -162,8 +168,8 @@
 	return rsp, http.StatusOK
 }
 
-// report tells the state of an attempt and renews its lease. An attempt that
-// the worker does not know is refused from then on.
+// report returns the state of an attempt and renews its lease. A start of an
+// attempt that was reported as unknown is refused from then on.
 func (wkr *Worker) report(now time.Time, att effect.TaskAttempt, lease time.Duration) event.WorkerTask {
 	wtk := event.WorkerTask{TaskID: att.TaskID, Attempt: att.Attempt, State: event.WorkerUnknown}
 	tsk, ok := wkr.tasks[att.TaskID]
@@ -182,8 +188,8 @@
 	return wtk
 }
 
-// advance ends a task that is due, or whose lease lapsed before it was.
-func (tsk *running) advance(now time.Time) {
+// advance ends a task that is due, or whose lease lapsed before it was due.
+func (tsk *taskRun) advance(now time.Time) {
 	if tsk.state != event.WorkerRunning {
 		return
 	}
@@ -211,8 +217,8 @@
 	return empty{}, http.StatusOK
 }
 
-// checkpoint tells how much of a task is left, as a span at full speed. A later
-// start may go on from there.
+// checkpoint returns the remaining duration of a task at full speed. A later start
+// may resume from it.
 func (wkr *Worker) checkpoint(now time.Time, att effect.TaskAttempt) (workerclient.CheckpointResponse, int) {
 	wkr.mu.Lock()
 	defer wkr.mu.Unlock()
@@ -220,7 +226,7 @@
 	if !ok || tsk.attempt != att.Attempt {
 		return workerclient.CheckpointResponse{}, http.StatusNotFound
 	}
-	return workerclient.CheckpointResponse{Checkpoint: []byte(tsk.left(now).String())}, http.StatusOK
+	return workerclient.CheckpointResponse{Checkpoint: []byte(tsk.remaining(now).String())}, http.StatusOK
 }
 
 // throttle changes the speed of a task.
@@ -231,13 +237,13 @@
 	if !ok || tsk.attempt != req.Attempt || req.Percent < 1 || req.Percent > 100 {
 		return empty{}, http.StatusNotFound
 	}
-	left := tsk.left(now)
+	remaining := tsk.remaining(now)
 	tsk.percent = req.Percent
-	tsk.due = now.Add(left * 100 / time.Duration(req.Percent))
+	tsk.due = now.Add(remaining * 100 / time.Duration(req.Percent))
 	return empty{}, http.StatusOK
 }
 
-// left returns how long the task would still take at full speed.
-func (tsk *running) left(now time.Time) time.Duration {
+// remaining returns the remaining duration of the task at full speed.
+func (tsk *taskRun) remaining(now time.Time) time.Duration {
 	return max(0, tsk.due.Sub(now)) * time.Duration(tsk.percent) / 100
 }
--- a/internal/standin/taskworker/taskworker_test.go
+++ b/internal/standin/taskworker/taskworker_test.go
@@ -14,7 +14,7 @@
 var began = time.Unix(1_800_000_000, 0)
 
 func newWorker() *Worker {
-	return &Worker{vm: "w", recorder: &Recorder{}, tasks: map[string]*running{}, fences: map[string]int{}}
+	return &Worker{vm: "w", recorder: &Recorder{}, tasks: map[string]*taskRun{}, fences: map[string]int{}}
 }
 
 func (wkr *Worker) stateAt(after time.Duration, attempt int) event.WorkerState {
@@ -28,6 +28,8 @@
 	return workerclient.StartRequest{TaskID: "t", Attempt: attempt, Payload: []byte("10s"), LeaseMS: 5000, Checkpoint: []byte(checkpoint)}
 }
 
+// TestLeaseThatLapsesStopsTheTask guards against a task that completes although
+// its lease lapsed before its end.
 func TestLeaseThatLapsesStopsTheTask(t *testing.T) {
 	wkr := newWorker()
 	wkr.start(began, start(1, ""))
@@ -35,15 +37,19 @@
 	assert.Equal(t, wkr.stateAt(10*time.Second, 1), event.WorkerFailed)
 }
 
+// TestAttemptIsFenced guards against a delayed start that runs an attempt after a
+// poll has reported it as unknown.
 func TestAttemptIsFenced(t *testing.T) {
 	wkr := newWorker()
 	assert.Equal(t, wkr.stateAt(0, 2), event.WorkerUnknown)
 	_, status := wkr.start(began, start(2, ""))
-	assert.Equal(t, status, http.StatusConflict, "an attempt that was said to be unknown is refused")
+	assert.Equal(t, status, http.StatusConflict, "an attempt that was reported as unknown is refused")
 	_, status = wkr.start(began, start(3, ""))
 	assert.Equal(t, status, http.StatusOK)
 }
 
+// TestThrottleAndCheckpoint guards against a checkpoint that ignores the speed of
+// the task, and a start that ignores the checkpoint.
 func TestThrottleAndCheckpoint(t *testing.T) {
 	wkr := newWorker()
 	wkr.start(began, start(1, ""))
