--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,6 +1,6 @@
 // Package fleet starts the stand-ins of a whole deployment: the store, the
-// platform's list of VMs, and an executor or a worker for every VM that the
-// table of pools wants.
+// platform's list of VMs, and an executor or a worker for every VM in the table of
+// pools.
 package fleet
 
 import (
@@ -20,25 +20,26 @@
 
 // Sizes of the stand-ins.
 const (
-	// slots is how much work each VM takes at once.
-	slots = 8
-	// vmsPerRack is how many VMs stand in a rack.
+	// slotsPerVM is the number of requests or tasks that a VM runs concurrently.
+	slotsPerVM = 8
+	// vmsPerRack is the number of VMs in a rack.
 	vmsPerRack = 4
 )
 
-// Options say what to start and where.
+// Options configure a Fleet.
 type Options struct {
-	// StoreAddress and ListAddress are host:port.
+	// StoreAddress and ListAddress are the listen addresses of the store and the
+	// list of VMs, as host:port.
 	StoreAddress string
 	ListAddress  string
-	// ListLag is how late the platform tells of a change.
+	// ListLag is the delay of changes in the list of VMs.
 	ListLag time.Duration
 	Pools   []table.Pool
-	// DoubleRuns lets the executors run everything twice.
+	// DoubleRuns makes the executors run every request twice.
 	DoubleRuns bool
 }
 
-// Fleet is what runs.
+// Fleet holds the stand-ins of a deployment.
 type Fleet struct {
 	Store     *kvstore.Store
 	VMs       *vmlist.List
@@ -48,7 +49,7 @@
 	Workers   map[string]*taskworker.Worker
 	// AZs maps each VM to its availability zone.
 	AZs map[string]string
-	// StoreURL and ListURL are where the entries reach them.
+	// StoreURL and ListURL are the base URLs of the store and the list of VMs.
 	StoreURL string
 	ListURL  string
 
@@ -83,6 +84,7 @@
 	return fle, nil
 }
 
+// serve serves a handler on an address and returns its base URL.
 func (fle *Fleet) serve(address string, handler http.Handler) (url string, err error) {
 	lsn, err := net.Listen("tcp", address)
 	if err != nil {
@@ -94,6 +96,7 @@
 	return "http://" + lsn.Addr().String(), nil
 }
 
+// startPool starts the VMs of a pool in all its availability zones.
 func (fle *Fleet) startPool(poo table.Pool) error {
 	var azs []string
 	for az := range poo.VMs {
@@ -111,11 +114,11 @@
 	return nil
 }
 
-// StartVM starts one VM and lists it.
+// StartVM starts a VM with an executor or a worker and adds it to the list of VMs.
 func (fle *Fleet) StartVM(id, az string, svc table.Service) (err error) {
 	address := ""
 	if svc == table.ServiceExecutor {
-		exe, err := executor.Start(id, slots, fle.Runs)
+		exe, err := executor.Start(id, slotsPerVM, fle.Runs)
 		if err != nil {
 			return err
 		}
@@ -132,11 +135,11 @@
 	}
 	rack := fmt.Sprintf("%s-rack-%d", az, len(fle.AZs)/vmsPerRack)
 	fle.AZs[id] = az
-	fle.VMs.Put(vm.VM{ID: id, AZ: az, Rack: rack, Address: address, Service: svc, Slots: slots})
+	fle.VMs.Put(vm.VM{ID: id, AZ: az, Rack: rack, Address: address, Service: svc, Slots: slotsPerVM})
 	return nil
 }
 
-// Stop ends all stand-ins.
+// Stop stops all stand-ins without waiting for requests or tasks.
 func (fle *Fleet) Stop() {
 	for _, srv := range fle.servers {
 		_ = srv.Close()
