--- a/internal/standin/vmlist/vmlist.go
+++ b/internal/standin/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist is a stand-in for the platform's list of VMs, which tells a
-// change only after a while.
+// Package vmlist is a stand-in for the platform's list of VMs, which shows each
+// change only after a delay.
 package vmlist
 
 import (
@@ -19,60 +19,61 @@
 	lag time.Duration
 
 	mu sync.Mutex
-	// changes are in the order of their times.
+	// changes holds all changes, oldest first.
 	changes []change
 }
 
+// change is an added, replaced or removed VM.
 type change struct {
-	at   time.Time
-	id   string
-	one  vm.VM
-	gone bool
+	at      time.Time
+	id      string
+	desc    vm.VM
+	removed bool
 }
 
-// New returns an empty list that tells each change after a lag.
+// New returns an empty list that shows each change after a lag.
 func New(lag time.Duration) *List {
 	return &List{lag: lag}
 }
 
 // Put adds or replaces a VM.
-func (lst *List) Put(one vm.VM) {
+func (lst *List) Put(desc vm.VM) {
 	lst.mu.Lock()
 	defer lst.mu.Unlock()
-	lst.changes = append(lst.changes, change{at: time.Now(), id: one.ID, one: one})
+	lst.changes = append(lst.changes, change{at: time.Now(), id: desc.ID, desc: desc})
 }
 
-// Remove takes a VM off the list.
+// Remove removes a VM from the list.
 func (lst *List) Remove(id string) {
 	lst.mu.Lock()
 	defer lst.mu.Unlock()
-	lst.changes = append(lst.changes, change{at: time.Now(), id: id, gone: true})
+	lst.changes = append(lst.changes, change{at: time.Now(), id: id, removed: true})
 }
 
-// VMs returns the list as the platform tells it at a time.
+// VMs returns the VMs that the list shows at a time, sorted by ID.
 func (lst *List) VMs(now time.Time) []vm.VM {
 	lst.mu.Lock()
 	defer lst.mu.Unlock()
-	told := map[string]vm.VM{}
+	visible := map[string]vm.VM{}
 	for _, chg := range lst.changes {
 		if now.Sub(chg.at) < lst.lag {
 			continue
 		}
-		if chg.gone {
-			delete(told, chg.id)
+		if chg.removed {
+			delete(visible, chg.id)
 		} else {
-			told[chg.id] = chg.one
+			visible[chg.id] = chg.desc
 		}
 	}
-	vms := make([]vm.VM, 0, len(told))
-	for _, one := range told {
-		vms = append(vms, one)
+	vms := make([]vm.VM, 0, len(visible))
+	for _, desc := range visible {
+		vms = append(vms, desc)
 	}
 	slices.SortFunc(vms, func(a, b vm.VM) int { return strings.Compare(a.ID, b.ID) })
 	return vms
 }
 
-// Handler serves the list.
+// Handler returns the handler that serves the list.
 func (lst *List) Handler() http.Handler {
 	return http.HandlerFunc(func(wrt http.ResponseWriter, _ *http.Request) {
 		wrt.Header().Set("Content-Type", "application/json")
