--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -16,44 +16,48 @@
 	"github.com/balsamgauge/balsamgauge/pkg/outcome"
 )
 
-// call is one request of a caller, and what it was told.
+// call is a request by a caller and its result.
 type call struct {
-	runID string
-	team  string
-	key   string
-	// path and method say what was asked for.
+	runID  string
+	team   string
+	key    string
 	method string
 	path   string
-	// forbidden calls must never run.
-	forbidden  bool
+	// forbidden calls carry no valid key and must never run.
+	forbidden bool
+	// repeatable calls may run more than once.
 	repeatable bool
+	// entry is the entry that the call was sent to, or nil if none was live.
 	entry      *process
 	sentAt     time.Time
 	answeredAt time.Time
 	status     int
 	outcome    outcome.Outcome
 	code       outcome.Code
-	// whole says that the answer was the whole answer to this very request.
+	// whole reports whether the response was the complete response to this request.
 	whole bool
-	// err is set when the connection broke before there was an answer.
+	// err is set if the connection broke before the response was complete.
 	err error
 }
 
-// submission is one task and what its submitter was told.
+// submission is an accepted task.
 type submission struct {
 	key        string
 	taskID     string
 	repeatable bool
-	state      string
+	// state is the task's state in the last reply to a query.
+	state string
 }
 
-// callers drive work through the balancer and keep what they were told. They
-// are safe for concurrent use.
+// callers generates load: it sends requests and tasks to the entries, as a
+// balancer would, and records the responses. It is safe for concurrent use.
 type callers struct {
 	cluster *cluster
 	http    *http.Client
-	next    atomic.Int64
-	turn    atomic.Int64
+	// lastRun is the number of the last run ID, nextEntry the position of the next
+	// entry in the round-robin order.
+	lastRun   atomic.Int64
+	nextEntry atomic.Int64
 
 	mu          sync.Mutex
 	calls       []call
@@ -67,18 +71,18 @@
 	return &callers{cluster: cls, http: &http.Client{Transport: transport, Timeout: 10 * time.Second}}
 }
 
-// pick returns the entry whose turn it is, as the balancer would.
+// pick returns the next live entry in round-robin order, or nil if there is none.
 func (cal *callers) pick() *process {
 	live := cal.cluster.live()
 	if len(live) == 0 {
 		return nil
 	}
-	return live[int(cal.turn.Add(1))%len(live)]
+	return live[int(cal.nextEntry.Add(1))%len(live)]
 }
 
-// request makes one call and keeps what came of it.
-func (cal *callers) request(cll call, span time.Duration) call {
-	cll.runID = fmt.Sprintf("run-%d", cal.next.Add(1))
+// request makes a call whose run takes a duration, and records its result.
+func (cal *callers) request(cll call, duration time.Duration) call {
+	cll.runID = fmt.Sprintf("run-%d", cal.lastRun.Add(1))
 	cll.entry = cal.pick()
 	cll.sentAt = time.Now()
 	if cll.entry == nil {
@@ -96,15 +100,16 @@
 	}
 	req.Header.Set(executor.HeaderRunID, cll.runID)
 	req.Header.Set(executor.HeaderTeam, cll.team)
-	req.Header.Set(executor.HeaderWork, span.String())
-	cal.finish(&cll, req, body)
+	req.Header.Set(executor.HeaderWork, duration.String())
+	cal.send(&cll, req, body)
 	cal.mu.Lock()
 	defer cal.mu.Unlock()
 	cal.calls = append(cal.calls, cll)
 	return cll
 }
 
-func (cal *callers) finish(cll *call, req *http.Request, body []byte) {
+// send sends a request and stores the response in the call.
+func (cal *callers) send(cll *call, req *http.Request, body []byte) {
 	rsp, err := cal.http.Do(req)
 	if err != nil {
 		cll.err = err
@@ -127,14 +132,14 @@
 	}
 }
 
-// submit submits a task and keeps its ID if it was accepted.
+// submit submits a task and records it if it was accepted.
 func (cal *callers) submit(key, queue, payload string, repeatable bool) {
 	prc := cal.pick()
 	if prc == nil {
 		return
 	}
 	address := "http://" + prc.runner.CallersListener.Addr().String() + "/v1/queues/" + queue + "/tasks"
-	tsk, status, err := cal.task(http.MethodPost, address, key, payload)
+	tsk, status, err := cal.doTaskRequest(http.MethodPost, address, key, payload)
 	cal.mu.Lock()
 	defer cal.mu.Unlock()
 	if err != nil || status != http.StatusAccepted {
@@ -144,7 +149,8 @@
 	cal.submissions = append(cal.submissions, submission{key: key, taskID: tsk.ID, repeatable: repeatable})
 }
 
-func (cal *callers) task(method, address, key, payload string) (tsk runner.Task, status int, err error) {
+// doTaskRequest submits or queries a task and decodes the reply.
+func (cal *callers) doTaskRequest(method, address, key, payload string) (tsk runner.Task, status int, err error) {
 	req, err := http.NewRequest(method, address, bytes.NewReader([]byte(payload)))
 	if err != nil {
 		return runner.Task{}, 0, err
@@ -158,11 +164,10 @@
 	return tsk, rsp.StatusCode, json.NewDecoder(rsp.Body).Decode(&tsk)
 }
 
-// settleTasks asks for each accepted task until all have ended or the time is
-// up.
-func (cal *callers) settleTasks(ctx context.Context) {
+// awaitTasks polls each accepted task until all have ended or the context is done.
+func (cal *callers) awaitTasks(ctx context.Context) {
 	for ctx.Err() == nil {
-		open := 0
+		pending := 0
 		cal.mu.Lock()
 		subs := cal.submissions
 		cal.mu.Unlock()
@@ -172,12 +177,12 @@
 			}
 			prc := cal.pick()
 			address := "http://" + prc.runner.CallersListener.Addr().String() + "/v1/tasks/" + subs[i].taskID
-			if tsk, status, err := cal.task(http.MethodGet, address, subs[i].key, ""); err == nil && status == http.StatusOK {
+			if tsk, status, err := cal.doTaskRequest(http.MethodGet, address, subs[i].key, ""); err == nil && status == http.StatusOK {
 				subs[i].state = tsk.State
 			}
-			open++
+			pending++
 		}
-		if open == 0 {
+		if pending == 0 {
 			return
 		}
 		select {
@@ -187,13 +192,14 @@
 	}
 }
 
-// keepCalling makes calls one after the other until the context ends.
-func (cal *callers) keepCalling(ctx context.Context, grp *sync.WaitGroup, cll call, span, pause time.Duration) {
+// callRepeatedly starts a goroutine that makes calls one after the other, with a
+// pause between them, until the context is done.
+func (cal *callers) callRepeatedly(ctx context.Context, grp *sync.WaitGroup, cll call, duration, pause time.Duration) {
 	grp.Add(1)
 	go func() {
 		defer grp.Done()
 		for ctx.Err() == nil {
-			cal.request(cll, span)
+			cal.request(cll, duration)
 			select {
 			case <-ctx.Done():
 			case <-time.After(pause):
--- a/internal/demo/checks.go
+++ b/internal/demo/checks.go
@@ -6,11 +6,11 @@
 	"github.com/balsamgauge/balsamgauge/pkg/outcome"
 )
 
-// evaluate checks the invariants by what callers were told and what the
-// stand-ins saw.
+// evaluate checks the invariants against the responses that callers received and
+// the runs that the stand-ins recorded.
 func (dem *demonstration) evaluate() Report {
 	rep := Report{Seconds: seconds(time.Since(dem.began)), Steps: dem.steps}
-	dem.count(&rep)
+	dem.countOutcomes(&rep)
 	rep.Invariants = []Invariant{
 		{Name: "availability_budget_holds"},
 		dem.checkOnePool(),
@@ -30,7 +30,8 @@
 	return rep
 }
 
-func (dem *demonstration) count(rep *Report) {
+// countOutcomes counts the calls by outcome, and the tasks.
+func (dem *demonstration) countOutcomes(rep *Report) {
 	for _, cll := range dem.callers.calls {
 		rep.Requests++
 		switch {
@@ -54,14 +55,14 @@
 
 func (dem *demonstration) checkOnePool() Invariant {
 	inv := Invariant{Name: "vm_in_one_pool"}
-	inv.Checked = dem.watch.mom.samples
-	inv.Violated = dem.watch.mom.doubledVMs
+	inv.Checked = dem.watch.obs.samples
+	inv.Violated = dem.watch.obs.sharedVMs
 	return inv
 }
 
 func (dem *demonstration) checkTeamByKey() Invariant {
 	inv := Invariant{Name: "work_only_for_the_keys_team"}
-	runs := dem.runsOf()
+	runs := dem.runsByRequest()
 	for _, cll := range dem.callers.calls {
 		if cll.forbidden {
 			inv.check(len(runs[cll.runID]) == 0, "%s ran without a granted key", cll.runID)
@@ -72,13 +73,13 @@
 
 func (dem *demonstration) checkWithdrawnKey() Invariant {
 	inv := Invariant{Name: "withdrawn_key_stops"}
-	if dem.mom.withdrawnAt.IsZero() {
+	if dem.obs.withdrawnAt.IsZero() {
 		return inv
 	}
-	runs := dem.runsOf()
-	limit := dem.mom.withdrawnAt.Add(inForceWithin)
+	runs := dem.runsByRequest()
+	limit := dem.obs.withdrawnAt.Add(propagationLimit)
 	for _, cll := range dem.callers.calls {
-		if cll.key != dem.mom.withdrawnKey || cll.sentAt.Before(limit) {
+		if cll.key != dem.obs.withdrawnKey || cll.sentAt.Before(limit) {
 			continue
 		}
 		inv.check(len(runs[cll.runID]) == 0, "%s ran with a withdrawn key", cll.runID)
@@ -88,7 +89,7 @@
 
 func (dem *demonstration) checkTeamLimit() Invariant {
 	inv := Invariant{Name: "team_within_upper_limit"}
-	if !dem.mom.overCapacity {
+	if !dem.obs.overloaded {
 		return inv
 	}
 	for _, tea := range dem.cluster.tables.Teams {
@@ -102,15 +103,15 @@
 
 func (dem *demonstration) checkAZOut() Invariant {
 	inv := Invariant{Name: "no_start_in_az_out"}
-	from := dem.mom.azOutAt.Add(inForceWithin)
+	from := dem.obs.azOutAt.Add(propagationLimit)
 	for _, run := range dem.cluster.Runs.Runs() {
-		if run.Began.After(from) && run.Began.Before(dem.mom.azInAt) {
-			inv.check(dem.cluster.AZs[run.VM] != dem.mom.azOut, "%s began on %s", run.RunID, run.VM)
+		if run.Began.After(from) && run.Began.Before(dem.obs.azInAt) {
+			inv.check(dem.cluster.AZs[run.VM] != dem.obs.azOut, "%s began on %s", run.RunID, run.VM)
 		}
 	}
 	for _, run := range dem.cluster.TaskRuns.Runs() {
-		if run.Began.After(from) && run.Began.Before(dem.mom.azInAt) {
-			inv.check(dem.cluster.AZs[run.VM] != dem.mom.azOut, "task %s began on %s", run.TaskID, run.VM)
+		if run.Began.After(from) && run.Began.Before(dem.obs.azInAt) {
+			inv.check(dem.cluster.AZs[run.VM] != dem.obs.azOut, "task %s began on %s", run.TaskID, run.VM)
 		}
 	}
 	return inv
@@ -128,7 +129,7 @@
 
 func (dem *demonstration) checkNotRun() Invariant {
 	inv := Invariant{Name: "not_run_is_true"}
-	runs := dem.runsOf()
+	runs := dem.runsByRequest()
 	for _, cll := range dem.callers.calls {
 		if cll.outcome == outcome.NotRun {
 			inv.check(len(runs[cll.runID]) == 0, "%s was said not to have run (%s)", cll.runID, cll.code)
@@ -139,7 +140,7 @@
 
 func (dem *demonstration) checkAtMostOnce() Invariant {
 	inv := Invariant{Name: "unrepeatable_runs_at_most_once"}
-	runs := dem.runsOf()
+	runs := dem.runsByRequest()
 	for _, cll := range dem.callers.calls {
 		if !cll.repeatable {
 			inv.check(len(runs[cll.runID]) <= 1, "%s ran %d times", cll.runID, len(runs[cll.runID]))
@@ -159,20 +160,20 @@
 
 func (dem *demonstration) checkDrained() Invariant {
 	inv := Invariant{Name: "draining_upstream_gets_no_new_work"}
-	if dem.mom.drainedAt.IsZero() {
+	if dem.obs.drainedAt.IsZero() {
 		return inv
 	}
-	limit := dem.mom.drainedAt.Add(inForceWithin)
+	limit := dem.obs.drainedAt.Add(propagationLimit)
 	for _, run := range dem.cluster.Runs.Runs() {
 		if run.Began.After(limit) {
-			inv.check(run.VM != dem.mom.drained, "%s began on %s", run.RunID, run.VM)
+			inv.check(run.VM != dem.obs.drained, "%s began on %s", run.RunID, run.VM)
 		}
 	}
 	return inv
 }
 
-// checkShutdown looks at the requests that an entry had when it shut down
-// gracefully. The entry that was lost is another matter: its callers are cut.
+// checkShutdown checks the calls to entries that shut down gracefully. The killed
+// entry is excluded, since its connections break.
 func (dem *demonstration) checkShutdown() Invariant {
 	inv := Invariant{Name: "graceful_shutdown_cuts_nothing"}
 	for _, cll := range dem.callers.calls {
@@ -185,11 +186,11 @@
 
 func (dem *demonstration) checkConfig() Invariant {
 	inv := Invariant{Name: "config_in_force_and_never_reverts"}
-	mom := &dem.watch.mom
-	inv.Checked = mom.samples
-	inv.Violated = mom.regressions
-	for _, span := range mom.propagations {
-		inv.check(span <= inForceWithin, "a change took %s", span)
+	obs := &dem.watch.obs
+	inv.Checked = obs.samples
+	inv.Violated = obs.regressions
+	for _, duration := range obs.propagations {
+		inv.check(duration <= propagationLimit, "a change took %s", duration)
 	}
 	for _, acc := range dem.watch.pending {
 		inv.check(false, "revision %d is not in force", acc.revision)
@@ -197,7 +198,8 @@
 	return inv
 }
 
-// connectionsPerExecutor is what an executor allows in all.
+// connectionsPerExecutor is the number of connections from all entries together
+// that an executor allows.
 const connectionsPerExecutor = 64
 
 func (dem *demonstration) checkConnections() Invariant {
--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -24,20 +24,20 @@
 //go:embed tables/pools.toml
 var poolsTOML []byte
 
-// Sizes of the demonstration.
+// Sizes and times of the demonstration.
 const (
-	entries = 3
-	// listLag is how late the platform tells of a change.
+	entryCount = 3
+	// listLag is the delay of changes in the platform's list of VMs.
 	listLag = 2 * time.Second
-	// readyTimeout bounds the start.
+	// readyTimeout is the time that await waits for a condition.
 	readyTimeout = 15 * time.Second
-	// anyPort lets the system choose a port.
+	// anyPort is a listen address on a free loopback port.
 	anyPort = "127.0.0.1:0"
 )
 
 var azs = []string{"mu-east-1", "mu-east-2", "mu-east-3", "mu-east-4"}
 
-// cluster is all that runs: the stand-ins and the entries.
+// cluster holds the stand-ins and the entries.
 type cluster struct {
 	*fleet.Fleet
 	tables     table.Tables
@@ -45,16 +45,17 @@
 	settings   []settings.Settings
 	logger     *logrus.Logger
 
-	mu      sync.Mutex
-	members []*process
+	mu        sync.Mutex
+	processes []*process
 }
 
-// process is one entry and the end of its run.
+// process is an entry.
 type process struct {
 	runner *runner.Runner
 	admin  *adminclient.Client
-	done   chan struct{}
-	// leaving entries get no new callers from the balancer.
+	// done is closed when the entry has ended.
+	done chan struct{}
+	// leaving entries get no new calls.
 	leaving bool
 }
 
@@ -78,13 +79,13 @@
 }
 
 func (cls *cluster) startEntries() error {
-	for i := range entries {
+	for i := range entryCount {
 		cls.settings = append(cls.settings, settings.Settings{
 			Name: fmt.Sprintf("e%d", i+1), Region: "mu-east", AZ: azs[i%len(azs)],
 			Callers: anyPort, PeerListener: anyPort, Admin: anyPort,
 			Store: cls.StoreURL, StorePrefix: "/balsamgauge/", VMList: cls.ListURL + "/vms",
 			OperatorKeyHash: key.Hash(cls.credential),
-			MaxEntries:      entries, ConnectionsPerExecutor: connectionsPerExecutor,
+			MaxEntries:      entryCount, ConnectionsPerExecutor: connectionsPerExecutor,
 			StoreWritesPerSecond: 100, TimelineEvents: 20_000, LogLevel: "info",
 		})
 		if _, err := cls.startEntry(i); err != nil {
@@ -94,10 +95,10 @@
 	return nil
 }
 
-// startEntry starts an entry with the settings of a place, as the platform does
-// when it replaces a VM.
-func (cls *cluster) startEntry(place int) (prc *process, err error) {
-	set := cls.settings[place]
+// startEntry starts an entry with the settings at an index. The platform reuses
+// the settings of an entry in the same way when it replaces its VM.
+func (cls *cluster) startEntry(index int) (prc *process, err error) {
+	set := cls.settings[index]
 	for _, other := range cls.live() {
 		set.Peers = append(set.Peers, other.runner.PeerListener.Addr().String())
 	}
@@ -115,16 +116,16 @@
 	}()
 	cls.mu.Lock()
 	defer cls.mu.Unlock()
-	cls.members = append(cls.members, prc)
+	cls.processes = append(cls.processes, prc)
 	return prc, nil
 }
 
-// live returns the entries that the balancer sends callers to.
+// live returns the entries that get new calls: those that run and are not leaving.
 func (cls *cluster) live() []*process {
 	cls.mu.Lock()
 	defer cls.mu.Unlock()
 	var live []*process
-	for _, prc := range cls.members {
+	for _, prc := range cls.processes {
 		select {
 		case <-prc.done:
 		default:
@@ -136,14 +137,14 @@
 	return live
 }
 
-// setLeaving takes an entry out of the balancer.
+// setLeaving stops new calls to an entry.
 func (cls *cluster) setLeaving(prc *process) {
 	cls.mu.Lock()
 	defer cls.mu.Unlock()
 	prc.leaving = true
 }
 
-// awaitStatus waits until a condition holds at every live entry.
+// await waits until a condition holds at every live entry.
 func (cls *cluster) await(ctx context.Context, what string, holds func(prc *process) bool) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
@@ -160,10 +161,10 @@
 		case <-time.After(50 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("waited too long until %s; %s", what, cls.describe())
+	return fmt.Errorf("timed out waiting until %s; %s", what, cls.describe())
 }
 
-// describe tells how each live entry sees the fleet, for an error.
+// describe returns the status of each live entry, for an error message.
 func (cls *cluster) describe() string {
 	var text strings.Builder
 	for _, prc := range cls.live() {
@@ -173,12 +174,13 @@
 	return text.String()
 }
 
+// isVoting reports whether an entry votes and has a fresh configuration.
 func (cls *cluster) isVoting(prc *process) bool {
 	sts, err := prc.admin.Status(context.Background())
 	return err == nil && sts.Voting && sts.Fresh
 }
 
-// hasVMs reports whether every VM of the tables is in its pool at an entry.
+// hasVMs reports whether an entry has assigned every VM of the tables to a pool.
 func (cls *cluster) hasVMs(prc *process) bool {
 	cfg, err := prc.admin.Config(context.Background())
 	return err == nil && len(cfg.VMs) == len(cls.AZs)
@@ -186,9 +188,9 @@
 
 func (cls *cluster) stop() {
 	cls.mu.Lock()
-	members := cls.members
+	processes := cls.processes
 	cls.mu.Unlock()
-	for _, prc := range members {
+	for _, prc := range processes {
 		prc.runner.Kill()
 		<-prc.done
 	}
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -7,17 +7,19 @@
 	"time"
 )
 
-// Invariant is one thing that must always hold, and how the run bore it out.
+// Invariant is the result of checking an invariant.
 type Invariant struct {
 	Name string `json:"name"`
-	// Checked counts the cases that were looked at; 0 means that the run did
-	// not exercise the invariant.
-	Checked  int `json:"checked"`
+	// Checked counts the cases that were checked; 0 means that the run did not
+	// exercise the invariant.
+	Checked int `json:"checked"`
+	// Violated counts the cases that violated the invariant.
 	Violated int `json:"broken"`
-	// Example describes one broken case.
+	// Example describes the first of them.
 	Example string `json:"example,omitempty"`
 }
 
+// check counts a case. The format describes it if it violates the invariant.
 func (inv *Invariant) check(holds bool, format string, args ...any) {
 	inv.Checked++
 	if holds {
@@ -29,7 +31,9 @@
 	}
 }
 
-// Report is the outcome of a demonstration.
+// Report is the result of a demonstration. Requests counts all calls; Answered,
+// NotRun and Unknown count them by outcome, and Cut those without a complete
+// response.
 type Report struct {
 	Seconds    float64     `json:"seconds"`
 	Steps      []Step      `json:"steps"`
@@ -43,13 +47,13 @@
 	Invariants []Invariant `json:"invariants"`
 }
 
-// Step is one thing that the demonstration did.
+// Step is a step of the scenario with the time since its start.
 type Step struct {
 	AtSeconds float64 `json:"at_seconds"`
 	Name      string  `json:"name"`
 }
 
-// Violated reports whether any invariant broke.
+// Violated reports whether any invariant was violated.
 func (rep Report) Violated() bool {
 	for _, inv := range rep.Invariants {
 		if inv.Violated > 0 {
@@ -59,7 +63,8 @@
 	return false
 }
 
-// WriteText writes the report for a person, who has seen the steps go by.
+// WriteText writes the report as text. It leaves out the steps, which are printed
+// as they happen.
 func (rep Report) WriteText(out io.Writer) (err error) {
 	lines := []string{
 		fmt.Sprintf("requests %d: answered %d, not run %d, unknown %d, cut %d", rep.Requests, rep.Answered, rep.NotRun, rep.Unknown, rep.Cut),
@@ -81,7 +86,7 @@
 	return nil
 }
 
-// WriteJSON writes the report for a program.
+// WriteJSON writes the report as indented JSON.
 func (rep Report) WriteJSON(out io.Writer) (err error) {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", "  ")
@@ -91,6 +96,6 @@
 	return nil
 }
 
-func seconds(span time.Duration) float64 {
-	return float64(span.Milliseconds()) / 1000
+func seconds(duration time.Duration) float64 {
+	return float64(duration.Milliseconds()) / 1000
 }
--- a/internal/demo/scenario.go
+++ b/internal/demo/scenario.go
@@ -11,23 +11,24 @@
 	"github.com/balsamgauge/balsamgauge/internal/standin/executor"
 )
 
-// inForceWithin is how soon after its acceptance a change must be in force
-// everywhere.
-const inForceWithin = 3 * time.Second
+// propagationLimit is the time from the acceptance of a change within which it
+// must be in force at every entry.
+const propagationLimit = 3 * time.Second
 
-// Options change what the demonstration does.
+// Options configure the demonstration.
 type Options struct {
-	// DoubleRuns lets the executors run everything twice, to show that the
-	// checks notice.
+	// DoubleRuns makes the executors run every request twice, to show that the
+	// checks detect it.
 	DoubleRuns bool
-	// Brief plays the first scene only.
+	// Brief limits the scenario to its first scene.
 	Brief bool
-	// Progress is told of each step; it may be nil.
+	// Progress is called at each step; it may be nil.
 	Progress func(Step)
 }
 
-// moments are the times of the operators' events, for the checks.
-type moments struct {
+// observations holds the times of the injected events and the samples of the
+// entries' configurations, for the checks.
+type observations struct {
 	withdrawnAt  time.Time
 	withdrawnKey string
 	azOut        string
@@ -35,34 +36,36 @@
 	azInAt       time.Time
 	drained      string
 	drainedAt    time.Time
-	// overCapacity says that teams asked for more than their limit.
-	overCapacity bool
-	// propagations holds, for each accepted change, how long the slowest entry
-	// took to run by it, and regressions counts the revisions that went down.
+	// overloaded is set once teams have requested more than their limit.
+	overloaded bool
+	// propagations holds, for each accepted change, the time until it was in force
+	// at the slowest entry.
 	propagations []time.Duration
-	regressions  int
-	samples      int
-	doubledVMs   int
+	// regressions counts the samples in which an entry's revision went down.
+	regressions int
+	samples     int
+	// sharedVMs counts the VMs that a sample assigned to more than one pool.
+	sharedVMs int
 }
 
 // demonstration is one run of the scenario.
 type demonstration struct {
-	cluster *cluster
-	callers *callers
-	began   time.Time
-	steps   []Step
-	report  func(Step)
-	brief   bool
-	mom     moments
-	watch   *revisionWatch
-	keys    map[string]string
+	cluster  *cluster
+	callers  *callers
+	began    time.Time
+	steps    []Step
+	progress func(Step)
+	brief    bool
+	obs      observations
+	watch    *revisionWatch
+	keys     map[string]string
 }
 
 // Run runs the demonstration and returns its report.
 func Run(ctx context.Context, opt Options) (rep Report, err error) {
 	defer func() {
 		if err != nil {
-			err = fmt.Errorf("demonstration: %w", err)
+			err = fmt.Errorf("run demonstration: %w", err)
 		}
 	}()
 	cls, err := startCluster(opt.DoubleRuns)
@@ -72,36 +75,38 @@
 	defer cls.stop()
 	dem := &demonstration{
 		cluster: cls, callers: newCallers(cls), began: time.Now(),
-		report: opt.Progress, brief: opt.Brief, keys: map[string]string{},
+		progress: opt.Progress, brief: opt.Brief, keys: map[string]string{},
 	}
 	if err := dem.prepare(ctx); err != nil {
 		return Report{}, err
 	}
-	if err := dem.play(ctx); err != nil {
+	if err := dem.runScenes(ctx); err != nil {
 		return Report{}, err
 	}
 	return dem.evaluate(), nil
 }
 
+// step records a step and reports it as progress.
 func (dem *demonstration) step(format string, args ...any) {
 	stp := Step{AtSeconds: seconds(time.Since(dem.began)), Name: fmt.Sprintf(format, args...)}
 	dem.steps = append(dem.steps, stp)
-	if dem.report != nil {
-		dem.report(stp)
+	if dem.progress != nil {
+		dem.progress(stp)
 	}
 }
 
-// admin returns the admin client of some live entry.
+// admin returns the admin client of the first live entry.
 func (dem *demonstration) admin() *adminclient.Client {
 	return dem.cluster.live()[0].admin
 }
 
-// prepare waits for the entries, applies the tables and grants the keys.
+// prepare waits for the entries, applies the tables of routes and pools, and
+// grants the keys.
 func (dem *demonstration) prepare(ctx context.Context) error {
 	if err := dem.cluster.await(ctx, "every entry votes", dem.cluster.isVoting); err != nil {
 		return err
 	}
-	dem.step("%d entries vote", entries)
+	dem.step("%d entries vote", entryCount)
 	dem.watch = watchRevisions(dem.cluster)
 	if _, err := dem.admin().Apply(ctx, dem.cluster.tables, 0); err != nil {
 		return err
@@ -125,15 +130,15 @@
 	return nil
 }
 
-// play goes through the operators' events under load.
-func (dem *demonstration) play(ctx context.Context) error {
+// runScenes runs the scenes one after the other under load.
+func (dem *demonstration) runScenes(ctx context.Context) error {
 	load, stopLoad := context.WithCancel(ctx)
 	defer stopLoad()
 	var grp sync.WaitGroup
 	dem.startLoad(load, &grp)
 	scenes := []func(context.Context) error{
 		dem.withdrawKey, dem.takeAZOut, dem.drainExecutor, dem.overload,
-		dem.loseStore, dem.replaceEntry, dem.killEntry,
+		dem.interruptStore, dem.replaceEntry, dem.killEntry,
 	}
 	if dem.brief {
 		scenes = scenes[:1]
@@ -149,12 +154,14 @@
 	grp.Wait()
 	settle, cancel := context.WithTimeout(ctx, 20*time.Second)
 	defer cancel()
-	dem.callers.settleTasks(settle)
+	dem.callers.awaitTasks(settle)
 	dem.watch.stop()
 	dem.step("load ended, tasks settled")
 	return nil
 }
 
+// startLoad starts callers with granted keys, without a key on an open route, and
+// with keys that must be refused.
 func (dem *demonstration) startLoad(ctx context.Context, grp *sync.WaitGroup) {
 	kinds := []call{
 		{team: "dispatch", key: dem.keys["dispatch"], method: http.MethodGet, path: "/plan/barge", repeatable: true},
@@ -166,7 +173,7 @@
 	}
 	for _, kind := range kinds {
 		for range 2 {
-			dem.callers.keepCalling(ctx, grp, kind, 20*time.Millisecond, 10*time.Millisecond)
+			dem.callers.callRepeatedly(ctx, grp, kind, 20*time.Millisecond, 10*time.Millisecond)
 		}
 	}
 	forbidden := []call{
@@ -174,11 +181,12 @@
 		{team: "dispatch", method: http.MethodPost, path: "/order/anonymous", forbidden: true},
 	}
 	for _, kind := range forbidden {
-		dem.callers.keepCalling(ctx, grp, kind, 0, 100*time.Millisecond)
+		dem.callers.callRepeatedly(ctx, grp, kind, 0, 100*time.Millisecond)
 	}
 	dem.submitTasks(ctx, grp)
 }
 
+// submitTasks starts a goroutine that submits tasks until the context is done.
 func (dem *demonstration) submitTasks(ctx context.Context, grp *sync.WaitGroup) {
 	grp.Add(1)
 	go func() {
@@ -194,15 +202,16 @@
 	}()
 }
 
-func pause(ctx context.Context, span time.Duration) error {
+func pause(ctx context.Context, duration time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-time.After(span):
+	case <-time.After(duration):
 		return nil
 	}
 }
 
+// withdrawKey withdraws a key that a caller keeps using.
 func (dem *demonstration) withdrawKey(ctx context.Context) error {
 	if err := pause(ctx, time.Second); err != nil {
 		return err
@@ -211,63 +220,66 @@
 	if err != nil {
 		return err
 	}
-	dem.mom.withdrawnAt, dem.mom.withdrawnKey = time.Now(), dem.keys["lost"]
-	dem.watch.accepted(rsp.Revision, dem.mom.withdrawnAt)
+	dem.obs.withdrawnAt, dem.obs.withdrawnKey = time.Now(), dem.keys["lost"]
+	dem.watch.trackChange(rsp.Revision, dem.obs.withdrawnAt)
 	dem.step("key farms-lost withdrawn at revision %d", rsp.Revision)
 	return pause(ctx, 4*time.Second)
 }
 
+// takeAZOut takes an availability zone out of service and returns it.
 func (dem *demonstration) takeAZOut(ctx context.Context) error {
-	dem.mom.azOut = azs[1]
-	rsp, err := dem.admin().SetAZ(ctx, dem.mom.azOut, true)
+	dem.obs.azOut = azs[1]
+	rsp, err := dem.admin().SetAZ(ctx, dem.obs.azOut, true)
 	if err != nil {
 		return err
 	}
-	dem.mom.azOutAt = time.Now()
-	dem.watch.accepted(rsp.Revision, dem.mom.azOutAt)
-	dem.step("availability zone %s taken out", dem.mom.azOut)
+	dem.obs.azOutAt = time.Now()
+	dem.watch.trackChange(rsp.Revision, dem.obs.azOutAt)
+	dem.step("availability zone %s taken out", dem.obs.azOut)
 	if err := pause(ctx, 5*time.Second); err != nil {
 		return err
 	}
-	dem.mom.azInAt = time.Now()
-	rsp, err = dem.admin().SetAZ(ctx, dem.mom.azOut, false)
+	dem.obs.azInAt = time.Now()
+	rsp, err = dem.admin().SetAZ(ctx, dem.obs.azOut, false)
 	if err != nil {
 		return err
 	}
-	dem.watch.accepted(rsp.Revision, time.Now())
-	dem.step("availability zone %s back in", dem.mom.azOut)
+	dem.watch.trackChange(rsp.Revision, time.Now())
+	dem.step("availability zone %s back in", dem.obs.azOut)
 	return pause(ctx, time.Second)
 }
 
+// drainExecutor starts the graceful shutdown of an executor.
 func (dem *demonstration) drainExecutor(ctx context.Context) error {
-	dem.mom.drained = "planning-" + azs[2] + "-1"
-	dem.mom.drainedAt = time.Now()
-	dem.cluster.Executors[dem.mom.drained].Drain()
-	dem.step("%s begins its graceful shutdown", dem.mom.drained)
+	dem.obs.drained = "planning-" + azs[2] + "-1"
+	dem.obs.drainedAt = time.Now()
+	dem.cluster.Executors[dem.obs.drained].Drain()
+	dem.step("%s begins its graceful shutdown", dem.obs.drained)
 	return pause(ctx, 4*time.Second)
 }
 
-// overload asks for more than the teams' limits for a while.
+// overload sends more concurrent requests than the teams' limits allow, for 2 s.
 func (dem *demonstration) overload(ctx context.Context) error {
 	dem.step("both teams ask for more than their limits")
 	busy, stop := context.WithTimeout(ctx, 2*time.Second)
 	defer stop()
 	var grp sync.WaitGroup
 	for range 40 {
-		dem.callers.keepCalling(busy, &grp, call{
+		dem.callers.callRepeatedly(busy, &grp, call{
 			team: "dispatch", key: dem.keys["dispatch"], method: http.MethodPost, path: "/order/rush",
 		}, 50*time.Millisecond, 0)
-		dem.callers.keepCalling(busy, &grp, call{
+		dem.callers.callRepeatedly(busy, &grp, call{
 			team: "farms", key: dem.keys["farms"], method: http.MethodGet, path: "/plan/rush", repeatable: true,
 		}, 50*time.Millisecond, 0)
 	}
 	<-busy.Done()
 	grp.Wait()
-	dem.mom.overCapacity = true
+	dem.obs.overloaded = true
 	return ctx.Err()
 }
 
-func (dem *demonstration) loseStore(ctx context.Context) error {
+// interruptStore makes the store unavailable for 4 s.
+func (dem *demonstration) interruptStore(ctx context.Context) error {
 	dem.cluster.Store.SetDown(true)
 	dem.step("the store goes down")
 	if err := pause(ctx, 4*time.Second); err != nil {
@@ -278,7 +290,7 @@
 	return pause(ctx, 2*time.Second)
 }
 
-// replaceEntry shuts an entry down gracefully under load and starts another.
+// replaceEntry shuts an entry down gracefully and starts another in its place.
 func (dem *demonstration) replaceEntry(ctx context.Context) error {
 	old := dem.cluster.live()[0]
 	dem.cluster.setLeaving(old)
@@ -301,7 +313,7 @@
 	return pause(ctx, time.Second)
 }
 
-// killEntry ends an entry as a lost VM would.
+// killEntry ends an entry without a shutdown, as the loss of its VM does.
 func (dem *demonstration) killEntry(ctx context.Context) error {
 	lost := dem.cluster.live()[0]
 	lost.runner.Kill()
@@ -310,8 +322,8 @@
 	return pause(ctx, 8*time.Second)
 }
 
-// runsOf groups the runs of the executors by request.
-func (dem *demonstration) runsOf() map[string][]executor.Run {
+// runsByRequest groups the runs of the executors by request.
+func (dem *demonstration) runsByRequest() map[string][]executor.Run {
 	runs := map[string][]executor.Run{}
 	for _, run := range dem.cluster.Runs.Runs() {
 		runs[run.RunID] = append(runs[run.RunID], run)
--- a/internal/demo/watch.go
+++ b/internal/demo/watch.go
@@ -6,23 +6,26 @@
 	"time"
 )
 
-// sampleEvery is the time between two looks at every entry's configuration.
-const sampleEvery = 50 * time.Millisecond
+// sampleInterval is the time between two polls of the entries' configurations.
+const sampleInterval = 50 * time.Millisecond
 
-// revisionWatch samples which revision each entry runs by.
+// revisionWatch samples the revision of the configuration in force at each entry.
 type revisionWatch struct {
 	cluster *cluster
 	cancel  context.CancelFunc
 	done    chan struct{}
 
 	mu sync.Mutex
-	// revisions maps an entry to the highest revision that it was seen at.
+	// revisions maps the ID of an entry to the revision in its last sample.
 	revisions map[string]int64
-	pending   []acceptance
-	mom       moments
+	// pending holds the changes that are not yet in force at every entry.
+	pending []acceptedChange
+	obs     observations
 }
 
-type acceptance struct {
+// acceptedChange is the revision of an accepted change and the time of its
+// acceptance.
+type acceptedChange struct {
 	revision int64
 	at       time.Time
 }
@@ -40,16 +43,17 @@
 		wch.sample(ctx)
 		select {
 		case <-ctx.Done():
-		case <-time.After(sampleEvery):
+		case <-time.After(sampleInterval):
 		}
 	}
 }
 
-// accepted notes a change whose way to the entries is to be timed.
-func (wch *revisionWatch) accepted(revision int64, at time.Time) {
+// trackChange adds an accepted change whose propagation to the entries is
+// measured.
+func (wch *revisionWatch) trackChange(revision int64, at time.Time) {
 	wch.mu.Lock()
 	defer wch.mu.Unlock()
-	wch.pending = append(wch.pending, acceptance{revision, at})
+	wch.pending = append(wch.pending, acceptedChange{revision, at})
 }
 
 func (wch *revisionWatch) stop() {
@@ -57,6 +61,7 @@
 	<-wch.done
 }
 
+// sample polls every live entry. An entry that does not reply is left out.
 func (wch *revisionWatch) sample(ctx context.Context) {
 	lowest := int64(-1)
 	for _, prc := range wch.cluster.live() {
@@ -65,15 +70,15 @@
 			continue
 		}
 		wch.mu.Lock()
-		wch.mom.samples++
+		wch.obs.samples++
 		if cfg.Revision < wch.revisions[prc.runner.ID()] {
-			wch.mom.regressions++
+			wch.obs.regressions++
 		}
 		wch.revisions[prc.runner.ID()] = cfg.Revision
 		seen := map[string]bool{}
 		for _, asg := range cfg.VMs {
 			if seen[asg.VM] {
-				wch.mom.doubledVMs++
+				wch.obs.sharedVMs++
 			}
 			seen[asg.VM] = true
 		}
@@ -82,19 +87,20 @@
 			lowest = cfg.Revision
 		}
 	}
-	wch.settle(lowest)
+	wch.resolvePending(lowest)
 }
 
-func (wch *revisionWatch) settle(lowest int64) {
+// resolvePending completes the pending changes up to the lowest revision in force.
+func (wch *revisionWatch) resolvePending(lowest int64) {
 	wch.mu.Lock()
 	defer wch.mu.Unlock()
-	var still []acceptance
+	var remaining []acceptedChange
 	for _, acc := range wch.pending {
 		if lowest >= acc.revision {
-			wch.mom.propagations = append(wch.mom.propagations, time.Since(acc.at))
+			wch.obs.propagations = append(wch.obs.propagations, time.Since(acc.at))
 		} else {
-			still = append(still, acc)
+			remaining = append(remaining, acc)
 		}
 	}
-	wch.pending = still
+	wch.pending = remaining
 }
