--- a/internal/standin/executor/executor.go
+++ b/internal/standin/executor/executor.go
@@ -301,7 +301,7 @@
 	exe.respond(wrt, req, fault, body)
 }
 
-// work records a run and takes the time that the request asks for.
+// work records a run that takes the duration in the request's HeaderWork.
 func (exe *Executor) work(req *http.Request) {
 	duration, _ := time.ParseDuration(req.Header.Get(HeaderWork))
 	run := &Run{RunID: req.Header.Get(HeaderRunID), Team: req.Header.Get(HeaderTeam), VM: exe.vm, Began: time.Now()}
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -233,7 +233,7 @@
 			writeJSON(wri, http.StatusOK, map[string]any{"events": []item{}, "current-rev": revision})
 			return
 		case <-time.After(50 * time.Millisecond):
-			// A lease may have expired, which only a call notices.
+			// Retry: expired leases are removed only when the store is called.
 		case <-req.Context().Done():
 			return
 		}
--- a/internal/standin/site/worker.go
+++ b/internal/standin/site/worker.go
@@ -114,8 +114,8 @@
 	workerMemoryMB   = 32768
 )
 
-// zoneCount is the number of availability zones. Machines are spread over them in
-// turn.
+// zoneCount is the number of availability zones, to which machines are assigned
+// round-robin.
 const zoneCount = 3
 
 func zoneName(num int) string { return fmt.Sprintf("az%d", num) }
@@ -135,8 +135,9 @@
 // next one starts after the downtime.
 func (wor *Worker) Crash(downtime time.Duration) { wor.endIncarnation(machineDown, downtime, "") }
 
-// endIncarnation ends the present life and begins another one in a pool, or in the same one
-// if none is named.
+// endIncarnation ends the current incarnation, if there is one, and starts the
+// next one after the downtime, in the given pool or in the same one if it is
+// empty. The registration is removed after registrationLag.
 func (wor *Worker) endIncarnation(state machineState, downtime time.Duration, pool string) {
 	wor.mu.Lock()
 	defer wor.mu.Unlock()
