--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -7,29 +7,33 @@
 	"time"
 )
 
-// Invariant is one thing that must always hold, and how the run bore it out.
+// Invariant is the result of checking an invariant.
 type Invariant struct {
 	Name string `json:"name"`
-	// Checked counts the cases that were looked at; 0 means that the run did
-	// not exercise the invariant.
+	// Checked counts the cases that were checked; 0 means that the run did not
+	// exercise the invariant.
 	Checked int `json:"checked"`
-	Broken  int `json:"broken"`
-	// Example describes one broken case.
+	// Violated counts the cases that violated the invariant.
+	Violated int `json:"broken"`
+	// Example describes the first of them.
 	Example string `json:"example,omitempty"`
 }
 
+// check counts a case. The format describes it if it violates the invariant.
 func (inv *Invariant) check(holds bool, format string, args ...any) {
 	inv.Checked++
 	if holds {
 		return
 	}
-	inv.Broken++
+	inv.Violated++
 	if inv.Example == "" {
 		inv.Example = fmt.Sprintf(format, args...)
 	}
 }
 
-// Report is the outcome of a demonstration.
+// Report is the result of a demonstration. Requests counts all calls; Answered,
+// NotRun and Unknown count them by outcome, and Cut those without a complete
+// response.
 type Report struct {
 	Seconds    float64     `json:"seconds"`
 	Steps      []Step      `json:"steps"`
@@ -43,23 +47,24 @@
 	Invariants []Invariant `json:"invariants"`
 }
 
-// Step is one thing that the demonstration did.
+// Step is a step of the scenario with the time since its start.
 type Step struct {
 	AtSeconds float64 `json:"at_seconds"`
 	Name      string  `json:"name"`
 }
 
-// Broken reports whether any invariant broke.
-func (rep Report) Broken() bool {
+// Violated reports whether any invariant was violated.
+func (rep Report) Violated() bool {
 	for _, inv := range rep.Invariants {
-		if inv.Broken > 0 {
+		if inv.Violated > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// WriteText writes the report for a person, who has seen the steps go by.
+// WriteText writes the report as text. It leaves out the steps, which are printed
+// as they happen.
 func (rep Report) WriteText(out io.Writer) (err error) {
 	lines := []string{
 		fmt.Sprintf("requests %d: answered %d, not run %d, unknown %d, cut %d", rep.Requests, rep.Answered, rep.NotRun, rep.Unknown, rep.Cut),
@@ -67,7 +72,7 @@
 		fmt.Sprintf("%-34s %8s %8s", "invariant", "checked", "broken"),
 	}
 	for _, inv := range rep.Invariants {
-		line := fmt.Sprintf("%-34s %8d %8d", inv.Name, inv.Checked, inv.Broken)
+		line := fmt.Sprintf("%-34s %8d %8d", inv.Name, inv.Checked, inv.Violated)
 		if inv.Example != "" {
 			line += "  " + inv.Example
 		}
@@ -81,7 +86,7 @@
 	return nil
 }
 
-// WriteJSON writes the report for a program.
+// WriteJSON writes the report as indented JSON.
 func (rep Report) WriteJSON(out io.Writer) (err error) {
 	enc := json.NewEncoder(out)
 	enc.SetIndent("", "  ")
@@ -91,6 +96,6 @@
 	return nil
 }
 
-func seconds(span time.Duration) float64 {
-	return float64(span.Milliseconds()) / 1000
+func seconds(duration time.Duration) float64 {
+	return float64(duration.Milliseconds()) / 1000
 }
--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -43,7 +43,7 @@
 }
 
 func newCluster(t *testing.T, nodes, workers int, work time.Duration) *cluster {
-	return newClusterWith(t, nodes, site.Options{Pool: "lots", Workers: workers, Work: work}, testConfig(1, "k1"))
+	return newClusterWith(t, nodes, site.Options{Pool: "lots", Workers: workers, TaskDuration: work}, testConfig(1, "k1"))
 }
 
 // newClusterWith starts processes on a stand-in with the given options and
@@ -72,7 +72,7 @@
 // testConfig has one queue that requires a key and one public queue.
 func testConfig(version int, key string) site.Config {
 	return site.Config{
-		Version: version, Pools: []site.Pool{{Name: "lots"}}, GuardsRoom: true,
+		Version: version, Pools: []site.Pool{{Name: "lots"}}, RejectsOverload: true,
 		Queues: []site.Queue{
 			{Name: "gate", Prefix: "/gate/", Pool: "lots", Attempts: 4}, {Name: "open", Prefix: "/open/", Pool: "lots", Attempts: 4, Public: true},
 		},
@@ -159,11 +159,11 @@
 			return status == http.StatusOK && text == `{"state":"completed"}`
 		})
 	}
-	assert.Equal(t, clu.sit.Done(), 30*4)
+	assert.Equal(t, clu.sit.DoneTasks(), 30*4)
 	assert.Equal(t, clu.status(http.MethodPost, clu.jobURL(0, "/gate/", 3), "k1", jobBody), http.StatusOK)
 	assert.Equal(t, clu.status(http.MethodGet, clu.jobURL(0, "/gate/", 99), "k1", ""), http.StatusGone)
-	assert.Equal(t, clu.sit.Started(fmt.Sprintf("%016x", 3)), 4)
-	assert.DeepEqual(t, clu.sit.Faults(), []string(nil))
+	assert.Equal(t, clu.sit.StartedRuns(fmt.Sprintf("%016x", 3)), 4)
+	assert.DeepEqual(t, clu.sit.Violations(), []string(nil))
 }
 
 // TestRejectedCalls checks the status of calls that aren't allowed, and that
@@ -200,7 +200,7 @@
 	clu := newCluster(t, 2, 1, time.Hour)
 	url := clu.jobURL(0, "/gate/", 1)
 	assert.Equal(t, clu.status(http.MethodPost, url, "k1", jobBody), http.StatusOK)
-	clu.await("start", func() bool { return clu.sit.Started("0000000000000001") == 2 })
+	clu.await("start", func() bool { return clu.sit.StartedRuns("0000000000000001") == 2 })
 	assert.Equal(t, clu.status(http.MethodDelete, clu.jobURL(1, "/gate/", 1), "k1", ""), http.StatusOK)
 	_, text := clu.call(http.MethodGet, url, "k1", "")
 	assert.Equal(t, text, `{"state":"cancelled"}`)
@@ -231,7 +231,7 @@
 			return text == `{"state":"completed"}`
 		})
 	}
-	assert.DeepEqual(t, clu.sit.Faults(), []string(nil))
+	assert.DeepEqual(t, clu.sit.Violations(), []string(nil))
 }
 
 // TestStoreFaults makes the store lose the answers of writes, drop its history
@@ -242,7 +242,7 @@
 	for i := range 12 {
 		switch i {
 		case 3:
-			clu.sit.Store.LoseAnswers(2)
+			clu.sit.Store.DropResponses(2)
 		case 6:
 			clu.sit.Store.Compact()
 		case 9:
@@ -262,8 +262,8 @@
 			return text == `{"state":"completed"}`
 		})
 	}
-	assert.Equal(t, clu.sit.Started(fmt.Sprintf("%016x", 100)), 0)
-	assert.DeepEqual(t, clu.sit.Faults(), []string(nil))
+	assert.Equal(t, clu.sit.StartedRuns(fmt.Sprintf("%016x", 100)), 0)
+	assert.DeepEqual(t, clu.sit.Violations(), []string(nil))
 }
 
 // TestSilentVM makes a VM stop responding. Its tasks move to another VM once
@@ -273,7 +273,7 @@
 	for i := range 4 {
 		assert.Equal(t, clu.status(http.MethodPost, clu.jobURL(0, "/gate/", i), "k1", jobBody), http.StatusOK)
 	}
-	clu.await("start", func() bool { return clu.sit.Started(fmt.Sprintf("%016x", 0)) > 0 })
+	clu.await("start", func() bool { return clu.sit.StartedRuns(fmt.Sprintf("%016x", 0)) > 0 })
 	clu.sit.Workers[0].SetSilent(true)
 	for i := range 4 {
 		clu.await(fmt.Sprintf("end of job %d", i), func() bool {
@@ -282,7 +282,7 @@
 		})
 	}
 	clu.sit.Workers[0].SetSilent(false)
-	assert.DeepEqual(t, clu.sit.Faults(), []string(nil))
+	assert.DeepEqual(t, clu.sit.Violations(), []string(nil))
 }
 
 // TestAdviceThroughAllEntries has a queue whose steps may start only with
@@ -290,8 +290,8 @@
 // time for each entry.
 func TestAdviceThroughAllEntries(t *testing.T) {
 	config := testConfig(1, "k1")
-	config.Queues[0].Advice = 300 * time.Millisecond
-	clu := newClusterWith(t, 3, site.Options{Pool: "lots", Workers: 3, Work: 50 * time.Millisecond, Advice: 300 * time.Millisecond}, config)
+	config.Queues[0].DecisionTime = 300 * time.Millisecond
+	clu := newClusterWith(t, 3, site.Options{Pool: "lots", Workers: 3, TaskDuration: 50 * time.Millisecond, DecisionTime: 300 * time.Millisecond}, config)
 	clu.await("registrations", func() bool {
 		return clu.sit.Store.Value("asker/entry-0") != nil && clu.sit.Store.Value("asker/entry-1") != nil && clu.sit.Store.Value("asker/entry-2") != nil
 	})
@@ -304,8 +304,8 @@
 			return text == `{"state":"completed"}`
 		})
 	}
-	assert.Assert(t, clu.sit.Advisor.Callers() >= 3, "%d entries queried the advisor", clu.sit.Advisor.Callers())
-	assert.DeepEqual(t, clu.sit.Faults(), []string(nil))
+	assert.Assert(t, clu.sit.Advisor.Connections() >= 3, "%d entries queried the advisor", clu.sit.Advisor.Connections())
+	assert.DeepEqual(t, clu.sit.Violations(), []string(nil))
 }
 
 // TestSettingsAreReloaded changes the settings file and sends SIGHUP. The
