--- a/internal/adminclient/client.go
+++ b/internal/adminclient/client.go
@@ -1,4 +1,5 @@
-// Package adminclient is a client of the admin API of an entry.
+// Package adminclient is a client of the admin API of an entry, a process that
+// accepts requests and tasks from callers.
 package adminclient
 
 import (
--- a/internal/cli/local.go
+++ b/internal/cli/local.go
@@ -25,7 +25,7 @@
 	actions[check.FullCommand()] = func(context.Context) error { return cmd.check(*routes, *pools) }
 
 	demonstrate := app.Command("demo", "Run entries and stand-ins on loopback and check the invariants. Exits with 1 if one was violated.")
-	double := demonstrate.Flag("double-runs", "Let the stand-ins run all work twice, to demonstrate that the checks fail.").Hidden().Bool()
+	double := demonstrate.Flag("double-runs", "Let the executors run every request twice, to demonstrate that the checks fail.").Hidden().Bool()
 	brief := demonstrate.Flag("brief", "Run only the first scene.").Bool()
 	actions[demonstrate.FullCommand()] = func(ctx context.Context) error {
 		return cmd.demo(ctx, demo.Options{DoubleRuns: *double, Brief: *brief})
--- a/internal/demo/checks.go
+++ b/internal/demo/checks.go
@@ -12,6 +12,8 @@
 	rep := Report{Seconds: seconds(time.Since(dem.began)), Steps: dem.steps}
 	dem.countOutcomes(&rep)
 	rep.Invariants = []Invariant{
+		// The demonstration does not check this invariant. It is listed so that the
+		// report shows so.
 		{Name: "availability_budget_holds"},
 		dem.checkOnePool(),
 		dem.checkTeamByKey(),
--- a/internal/demo/doc.go
+++ b/internal/demo/doc.go
@@ -3,6 +3,7 @@
 // the system's invariants from the outside: against the responses that callers
 // received and the runs that the stand-ins recorded.
 //
-// An entry is one process of the system on an entry VM. An executor runs requests
-// on its VM, and a worker runs tasks on its VM; both are stand-ins here.
+// An entry is a process that accepts requests and tasks from callers. An executor
+// runs requests on its VM, and a worker runs tasks on its VM; both are stand-ins
+// here. A scene is one operation or failure of the demonstration.
 package demo
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,7 +1,6 @@
 // Package explain traces one job, task or VM through the logs of all processes.
 //
-// A process here is a process of the system, and a VM one incarnation of a
-// machine that runs tasks.
+// A VM runs tasks on a machine; the next VM on the machine has another ID.
 package explain
 
 import (
@@ -29,7 +28,8 @@
 // maxLineBytes bounds the length of a log line.
 const maxLineBytes = 1 << 20
 
-// Collect returns the lines of a log that mention an ID of a job, a task or a VM.
+// Collect returns the lines of a log that contain an ID of a job, a task or a VM,
+// also as a part of a longer one.
 // Lines that mention the ID but are not valid log lines are skipped and counted in
 // unparsed.
 func Collect(log io.Reader, id string) (lines []Line, unparsed int, err error) {
--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -51,16 +51,16 @@
 // work submits one job after another until ctx is done, and polls each until it
 // has ended or settleCtx is done.
 func (cal *caller) work(ctx, settleCtx context.Context) {
-	var followers sync.WaitGroup
+	var polls sync.WaitGroup
 	for ctx.Err() == nil {
 		job := cal.newJob()
 		seed := cal.rng.Uint64()
 		if cal.submit(ctx, job) {
-			followers.Go(func() { cal.pollJob(ctx, settleCtx, job, rand.New(rand.NewPCG(seed, 1))) })
+			polls.Go(func() { cal.pollJob(ctx, settleCtx, job, rand.New(rand.NewPCG(seed, 1))) })
 		}
 		clock.Pause(ctx, time.Duration(cal.rng.Int64N(int64(600*time.Millisecond))))
 	}
-	followers.Wait()
+	polls.Wait()
 }
 
 // newJob returns a random job: one in 20 has lasting tasks, the others have up to
@@ -186,7 +186,7 @@
 // received.
 func (cal *caller) call(rng *rand.Rand, method string, job ledger.Job, key, text string) (status int, answer string) {
 	nod := cal.run.nodes[rng.IntN(len(cal.run.nodes))]
-	req, err := http.NewRequest(method, "http://"+nod.callers+queuePrefix+job.ID, strings.NewReader(text))
+	req, err := http.NewRequest(method, "http://"+nod.callersAddress+queuePrefix+job.ID, strings.NewReader(text))
 	if err != nil {
 		panic(err)
 	}
@@ -203,7 +203,9 @@
 		}
 		err = readErr
 	}
-	// A process that shuts down answers every request that it has read.
+	// A process answers every request that it has read, also while it shuts down.
+	// The request may not have been read if it fails within unreadWindow, and the
+	// caller may have given up if it fails near callTimeout.
 	if took := time.Since(sent); took > unreadWindow && took < callTimeout-unreadWindow && !nod.disruptedAt(sent) && !nod.disruptedAt(time.Now()) {
 		cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("%s of job %s was cut by %s after %v: %v", method, job.ID, nod.name, took, err))
 	}
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -12,8 +12,9 @@
 // linkDelay is the delay that LinkDelay adds in each direction.
 const linkDelay = 150 * time.Millisecond
 
-// lostReplies is the number of replies to writes that the store drops per fault.
-const lostReplies = 2
+// droppedResponses is the number of responses to transactions that the store drops
+// per fault.
+const droppedResponses = 2
 
 // injectFault injects a fault. A fault that lasts is reverted after its duration.
 func (run *Run) injectFault(fau Fault) {
@@ -38,7 +39,7 @@
 		run.sit.Store.SetDown(true)
 		afterFault(func() { run.sit.Store.SetDown(false) })
 	case StoreReplyLost:
-		run.sit.Store.DropResponses(lostReplies)
+		run.sit.Store.DropResponses(droppedResponses)
 	case StoreCompact:
 		run.sit.Store.Compact()
 	case KeyChange:
@@ -157,7 +158,7 @@
 	for _, nod := range run.nodes {
 		end := time.Now().Add(readyTimeout)
 		for ready := false; !ready; {
-			rsp, err := client.Get("http://" + nod.ready + "/readyz")
+			rsp, err := client.Get("http://" + nod.readyAddress + "/readyz")
 			if err == nil {
 				ready = rsp.StatusCode == http.StatusOK
 				_ = rsp.Body.Close()
--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -1,8 +1,10 @@
 // Package ledger records what callers, VMs and operators observe of the system
 // and detects violated invariants. Methods take the time as an argument.
 //
-// A machine is identified by its name; a VM is one incarnation of a machine and
-// is named by the machine, a dot and the number of the incarnation.
+// A VM is one incarnation of a machine. The first VM of a machine is named as in
+// "vm-2", and each later one with a dot and a number, as in "vm-2.1". The ledger
+// identifies a machine by the name of its first VM. CPU is counted in millicores,
+// thousandths of a core.
 package ledger
 
 import (
@@ -27,7 +29,7 @@
 	// Overrun is the fraction by which an account may exceed its cap, in addition
 	// to one task.
 	Overrun float64
-	// VMMilliCPU is the capacity of a VM, in thousandths of a core.
+	// VMMilliCPU is the capacity of a VM, in millicores.
 	VMMilliCPU int64
 	// Attempts is the number of failed runs after which a task fails.
 	Attempts int
@@ -43,7 +45,7 @@
 type Step struct {
 	// Count is the number of tasks.
 	Count int
-	// CPU is what each task reserves, in thousandths of a core.
+	// CPU is what each task reserves, in millicores.
 	CPU int64
 	// After holds the indexes of the steps that must be done before this one
 	// starts.
@@ -60,7 +62,7 @@
 	Steps   []Step
 }
 
-// Outcome is the result of a submission as its caller observes it.
+// Outcome is the outcome of a submission as its caller observes it.
 type Outcome int
 
 // Outcomes of a submission.
@@ -81,7 +83,7 @@
 	jobs  map[string]*jobRecord
 	tasks map[string]*taskRecord
 	// accountCaps and accountCPU hold the cap and the load of each account, vmCPU
-	// the load of each VM, all in thousandths of a core.
+	// the load of each VM, all in millicores.
 	accountCaps, accountCPU, vmCPU map[string]int64
 	// zonesOut and withdrawnKeys hold the times at which availability zones were
 	// taken out and keys withdrawn.
@@ -114,7 +116,7 @@
 }
 
 // New returns an empty ledger. accountCaps holds the cap of each account that
-// has one, in thousandths of a core.
+// has one, in millicores.
 func New(bnd Bounds, accountCaps map[string]int64) *Ledger {
 	return &Ledger{
 		bounds: bnd, jobs: map[string]*jobRecord{}, tasks: map[string]*taskRecord{}, accountCaps: accountCaps,
@@ -241,8 +243,8 @@
 	rec.reported = state
 }
 
-// checkTasksDone checks that every task of the given number of first steps is
-// done.
+// checkTasksDone checks that every task of a job's first steps is done; steps is
+// their number.
 func (led *Ledger) checkTasksDone(now time.Time, rec *jobRecord, steps int) {
 	for i, ste := range rec.Steps[:steps] {
 		for j := range ste.Count {
@@ -262,6 +264,8 @@
 	return most
 }
 
+// taskName returns the name of a task: its job, occurrence, step and index. Jobs
+// of the soak have a single occurrence, 0.
 func taskName(job string, step, index int) string { return fmt.Sprintf("%s.0.%d.%d", job, step, index) }
 
 func (led *Ledger) task(name string) *taskRecord {
@@ -348,9 +352,9 @@
 	}
 }
 
-// Ended records the end of a run with the result that its VM lists, or "gone" if
-// the VM itself ended.
-func (led *Ledger) Ended(vm, task, result string) {
+// Ended records the end of a run with the outcome that its VM reports, or "gone"
+// if the VM ended with it.
+func (led *Ledger) Ended(vm, task, outcome string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	rec, ste := led.stepOf(task)
@@ -361,20 +365,20 @@
 	tas.running--
 	led.vmCPU[vm] -= ste.CPU
 	led.accountCPU[rec.Account] -= ste.CPU
-	tas.done = tas.done || result == "done"
-	if result == "failed" {
+	tas.done = tas.done || outcome == "done"
+	if outcome == "failed" {
 		tas.failed++
 	}
 }
 
 // Acknowledged records that the end of a run was acknowledged to its VM.
-func (led *Ledger) Acknowledged(task, result string) {
+func (led *Ledger) Acknowledged(task, outcome string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	if rec, _ := led.stepOf(task); rec == nil {
 		return
 	}
-	switch result {
+	switch outcome {
 	case "done":
 		led.task(task).acked = true
 	case "failed":
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -24,11 +24,11 @@
 	name   string
 	binary string
 	dir    string
-	// callers and ready are the listen addresses for callers and for readiness
-	// checks.
-	callers string
-	ready   string
-	store   *proxy.Proxy
+	// callersAddress and readyAddress are the listen addresses for callers and for
+	// readiness checks.
+	callersAddress string
+	readyAddress   string
+	store          *proxy.Proxy
 
 	mu  sync.Mutex
 	cmd *exec.Cmd
@@ -60,9 +60,9 @@
 			return nil, err
 		}
 	}
-	nod.callers, nod.ready = fmt.Sprintf("127.0.0.1:%d", ports[0]), fmt.Sprintf("127.0.0.1:%d", ports[1])
+	nod.callersAddress, nod.readyAddress = fmt.Sprintf("127.0.0.1:%d", ports[0]), fmt.Sprintf("127.0.0.1:%d", ports[1])
 	text := site.Process{
-		Name: name, Callers: nod.callers, Ready: nod.ready, Port: ports[2], Store: nod.store.Address(), Machines: machines,
+		Name: name, Callers: nod.callersAddress, Ready: nod.readyAddress, Port: ports[2], Store: nod.store.Address(), Machines: machines,
 		Grace: gracePeriod, Revoke: ledger.PlatformBounds.Revoke,
 	}.Settings()
 	return nod, os.WriteFile(nod.settingsPath(), []byte(text), 0o600)
--- a/internal/soak/proxy/proxy.go
+++ b/internal/soak/proxy/proxy.go
@@ -49,7 +49,7 @@
 // Address returns the address on which the proxy listens.
 func (pro *Proxy) Address() string { return pro.lis.Addr().String() }
 
-// Close stops the listener and resets all connections.
+// Close stops the listener and resets all connections that are not silent.
 func (pro *Proxy) Close() {
 	_ = pro.lis.Close()
 	pro.Reset()
@@ -164,7 +164,7 @@
 	}
 }
 
-// Reset resets all open connections.
+// Reset resets all open connections, except those that Silence has stopped.
 func (pro *Proxy) Reset() {
 	pro.mu.Lock()
 	defer pro.mu.Unlock()
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -11,7 +11,7 @@
 
 // Kinds of faults. Node faults affect one process of the program, link faults the
 // connections of one process to the store, VM faults one VM or the connections to
-// it.
+// it. Up is the direction to the store, down the one from it.
 const (
 	NodeKill       Kind = "node_kill"
 	NodeTerm       Kind = "node_term"
@@ -88,7 +88,7 @@
 				return wei.kind
 			}
 		}
-		panic("soak: weights don't add up")
+		panic("soak: draw exceeds the sum of the weights")
 	}
 	at := time.Second
 	for at < span {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -21,7 +21,8 @@
 	For time.Duration
 	// Processes is the number of processes of the program.
 	Processes int
-	// Machines is the number of VMs that the stand-in has in each of two pools.
+	// Machines is the number of machines, each with a VM, in each of two pools. A
+	// standby pool has two more, without VMs.
 	Machines int
 	// Binary is the path of the program. Settings and logs are written to Dir.
 	Binary string
@@ -58,8 +59,8 @@
 	callerCount         = 6
 )
 
-// smallCapMilliCPU is the cap of the account that has one, in thousandths of a
-// core: about one and a half times what the callers request for it.
+// smallCapMilliCPU is the cap of the account that has one, in millicores: about
+// one and a half times what the callers request for it.
 const smallCapMilliCPU = 24_000
 
 // Run is one run of the soak: the stand-in, the processes, the ledger and the
@@ -120,9 +121,9 @@
 func (obs observer) Started(vm, zone, task string, run int, payload string) {
 	obs.led.Started(time.Now(), vm, zone, task, run, payload)
 }
-func (obs observer) Ended(vm, task string, _ int, result string) { obs.led.Ended(vm, task, result) }
-func (obs observer) Acknowledged(_, task string, _ int, result string) {
-	obs.led.Acknowledged(task, result)
+func (obs observer) Ended(vm, task string, _ int, outcome string) { obs.led.Ended(vm, task, outcome) }
+func (obs observer) Acknowledged(_, task string, _ int, outcome string) {
+	obs.led.Acknowledged(task, outcome)
 }
 func (obs observer) Violation(violation string) { obs.led.AddViolation(time.Now(), violation) }
 
@@ -141,11 +142,12 @@
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			result := "done"
+			outcome := "done"
 			if rng.Float64() < taskFailProbability {
-				result = "failed"
+				outcome = "failed"
 			}
-			return time.Duration(float64(taskEstimate) * (0.3 + 1.5*rng.Float64())), result
+			// Runs take from 0.3 to 1.8 times the estimate.
+			return time.Duration(float64(taskEstimate) * (0.3 + 1.5*rng.Float64())), outcome
 		},
 		Expose: func(_, address string) (string, error) {
 			prx, err := proxy.New(address)
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -1,6 +1,7 @@
-// Package fleet starts the stand-ins of a whole deployment: the store, the
-// platform's list of VMs, and an executor or a worker for every VM in the table of
-// pools.
+// Package fleet starts the stand-ins that entries, the processes of the serve
+// command, need: the store, the platform's list of VMs, and an executor or a
+// worker for every VM in the table of pools. Package site is the stand-in for the
+// manage command.
 package fleet
 
 import (
--- a/internal/standin/kvstore/kvstore.go
+++ b/internal/standin/kvstore/kvstore.go
@@ -1,6 +1,7 @@
 // Package kvstore is a stand-in for the platform's key-value store. It serves
-// the part of etcd's JSON gateway that the entries use, from memory, and can
-// inject outages, latency and lost responses.
+// the part of etcd's JSON gateway that entries use, from memory, and can inject
+// outages, latency and lost responses. An entry is a process of the serve command;
+// package site has the store of the manage command, whose protocol differs.
 package kvstore
 
 import (
--- a/internal/standin/site/machines.go
+++ b/internal/standin/site/machines.go
@@ -77,10 +77,10 @@
 func (wor *Worker) checkToken(token int64, holder string) {
 	wor.mu.Lock()
 	defer wor.mu.Unlock()
-	if token < wor.token {
-		wor.sit.reportViolation("%s sent an order for %s with token %d after token %d", holder, wor.MachineName(), token, wor.token)
+	if token < wor.machineToken {
+		wor.sit.reportViolation("%s sent an order for %s with token %d after token %d", holder, wor.MachineName(), token, wor.machineToken)
 	}
-	wor.token = max(wor.token, token)
+	wor.machineToken = max(wor.machineToken, token)
 }
 
 // move starts to move the machine to a pool, unless it is there already. A
--- a/internal/standin/site/operator.go
+++ b/internal/standin/site/operator.go
@@ -22,7 +22,7 @@
 	Name   string
 	Prefix string
 	Pool   string
-	// Attempts is the number of times that a task may fail.
+	// Attempts is the number of failed runs after which a task fails.
 	Attempts int
 	// Public queues accept jobs without an API key.
 	Public bool
@@ -36,7 +36,7 @@
 	Name   string
 	Keys   []string
 	Weight int
-	// CPULimit is the account's cap in thousandths of a core; 0 means no cap.
+	// CPULimit is the account's cap, in millicores; 0 means no cap.
 	CPULimit int64
 }
 
@@ -99,13 +99,14 @@
 type Step struct {
 	// Count is the number of tasks.
 	Count int
-	// CPU is the need of each task, in thousandths of a core.
+	// CPU is what each task reserves, in millicores.
 	CPU int64
 	// Estimate is the expected duration of a task.
 	Estimate time.Duration
-	// After lists the indices of the steps that must be done first.
+	// After holds the indexes of the steps that must be done before this one
+	// starts.
 	After []int
-	// Lasting tasks run until they are stopped.
+	// Lasting tasks run until their job is cancelled.
 	Lasting bool
 }
 
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -1,12 +1,18 @@
 // Package site is a small stand-in for the users' platform on loopback: its
 // store, its VMs that run tasks, its list of machines and its advisor. It
 // implements the platform's published protocol, so that tests and the soak drive
-// the whole system without the platform.
+// processes of the manage command without the platform. Package fleet has the
+// stand-ins for entries, the processes of the serve command.
 //
 // A machine is a host in one of the pools. It runs at most one VM at a time. A
-// Worker is a machine together with its VM. A VM's incarnation is the time from
-// its start to its end; the next VM on the machine is a new incarnation with a
-// new id.
+// Worker is a machine together with its VM. An incarnation is a VM from its start
+// to its end; the next VM on the machine is a new incarnation with a new id.
+//
+// Upkeep is the maintenance of a machine, during which it runs no VM, and a wave
+// is a batch of upkeep. The duty is the exclusive right to dispatch; only the
+// process that holds it may order moves and upkeep of machines. The advisor
+// decides which VMs may run the steps of some queues, and a ticket is its
+// permission for one VM.
 package site
 
 import (
--- a/internal/standin/site/store.go
+++ b/internal/standin/site/store.go
@@ -323,6 +323,7 @@
 		id = sto.revision
 		ttl := time.Duration(request.TTL) * time.Millisecond
 		sto.leases[id] = &lease{ttl: ttl, expires: time.Now().Add(ttl)}
+		// A revision that the history lacks could look compacted to a watch.
 		sto.publish(item{Key: "", Revision: sto.revision})
 		writeJSON(wri, http.StatusOK, map[string]int64{"lease": id, "ttl-ms": request.TTL})
 	case lea == nil:
--- a/internal/standin/site/worker.go
+++ b/internal/standin/site/worker.go
@@ -26,16 +26,16 @@
 	state        machineState
 	// born is the start of the incarnation, from which clock counts.
 	born time.Time
-	// fence is the highest fencing token of an order to the VM.
-	fence int64
+	// vmToken is the highest fencing token of an order to the VM.
+	vmToken int64
 	// deadline is the end of the task lease on the VM's clock. Runs stop when it has
 	// passed.
 	deadline time.Duration
 	runs     map[string]*activeRun
 	// unacked holds the ended runs that were not acknowledged, in the order of their
-	// numbers; lastNumber is the highest number so far.
-	unacked    []finishedRun
-	lastNumber int64
+	// sequence numbers; lastSequence is the highest of them so far.
+	unacked      []finishedRun
+	lastSequence int64
 	// highestRuns holds, for each task, the highest run that ended or was stopped.
 	// Starts of a run up to it are refused.
 	highestRuns map[string]int
@@ -46,8 +46,9 @@
 	// last of them.
 	begun    map[int64]bool
 	lastWave int64
-	// token is the highest fencing token of an order for the machine.
-	token int64
+	// machineToken is the highest fencing token of an order to move or maintain the
+	// machine.
+	machineToken int64
 }
 
 // machineState is the state of a machine in the list of machines.
@@ -60,18 +61,23 @@
 	machineDown   machineState = "down"
 )
 
+// activeRun is a run in progress.
 type activeRun struct {
+	// run is the number of the run among those of its task.
 	run int
 	// stopping is set once stop is closed, gone once the incarnation has ended.
 	stopping, gone bool
 	stop           chan struct{}
 }
 
+// finishedRun is a run that has ended.
 type finishedRun struct {
-	number  int64
-	task    string
-	run     int
-	outcome string
+	// sequence numbers the ended runs of a VM. A hold order acknowledges them up to
+	// a sequence number.
+	sequence int64
+	task     string
+	run      int
+	outcome  string
 }
 
 // clock returns the VM's time, which starts at 0 with each incarnation.
@@ -96,7 +102,7 @@
 	}
 	wor.incarnations++
 	wor.pool, wor.state, wor.born = pool, machineUp, time.Now()
-	wor.fence, wor.deadline, wor.lastNumber = 0, 0, 0
+	wor.vmToken, wor.deadline, wor.lastSequence = 0, 0, 0
 	wor.runs, wor.unacked, wor.highestRuns, wor.changed = map[string]*activeRun{}, nil, map[string]int{}, make(chan struct{})
 	if wor.sit.isStandby(pool) {
 		return
@@ -197,11 +203,11 @@
 		wri.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	if ord.Token < wor.fence {
+	if ord.Token < wor.vmToken {
 		wor.refuse(wri, "fence")
 		return
 	}
-	wor.fence = ord.Token
+	wor.vmToken = ord.Token
 	wor.deadline = max(wor.deadline, time.Duration(ord.Deadline)*time.Millisecond)
 	switch req.URL.Path {
 	case "/run-start":
@@ -276,8 +282,8 @@
 	}
 	delete(wor.runs, task)
 	wor.highestRuns[task] = max(wor.highestRuns[task], run.run)
-	wor.lastNumber++
-	wor.unacked = append(wor.unacked, finishedRun{wor.lastNumber, task, run.run, outcome})
+	wor.lastSequence++
+	wor.unacked = append(wor.unacked, finishedRun{wor.lastSequence, task, run.run, outcome})
 	wor.sit.recordEnd(wor.id, task, run.run, outcome)
 	close(wor.changed)
 	wor.changed = make(chan struct{})
@@ -289,7 +295,7 @@
 func (wor *Worker) hold(wri http.ResponseWriter, ord order) {
 	kept := wor.unacked[:0]
 	for _, end := range wor.unacked {
-		if end.number > ord.Acked {
+		if end.sequence > ord.Acked {
 			kept = append(kept, end)
 		} else {
 			wor.sit.recordAcknowledgement(wor.id, end.task, end.run, end.outcome)
@@ -313,7 +319,7 @@
 		running = append(running, []any{task, run.run, "", 100, 0})
 	}
 	for _, end := range wor.unacked {
-		finished = append(finished, []any{end.number, end.task, end.run, end.outcome, ""})
+		finished = append(finished, []any{end.sequence, end.task, end.run, end.outcome, ""})
 	}
 	writeJSON(wri, http.StatusOK, map[string]any{
 		"clock-ms": wor.clock().Milliseconds(), "born": wor.born.UnixMilli(), "running": running, "finished": finished,
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -17,11 +17,9 @@
 	"github.com/balsamgauge/balsamgauge/internal/workerclient"
 )
 
-// Payloads with a special meaning. Any other payload is the duration of the task.
-const (
-	// PayloadFail makes a task fail.
-	PayloadFail = "fail"
-)
+// PayloadFail is the payload of a task that fails. Any other payload is the
+// duration of the task.
+const PayloadFail = "fail"
 
 // Run is one start of an attempt of a task.
 type Run struct {
--- a/internal/timeline/doc.go
+++ b/internal/timeline/doc.go
@@ -2,6 +2,9 @@
 // clock, and merges the events of several processes into one time line.
 //
 // The clock implements Kulkarni, Demirbas, Madappa, Avva and Leone, "Logical
-// Physical Clocks" (OPODIS 2014): a stamp is never lower than any that the
-// process has observed, and stays close to the wall clock.
+// Physical Clocks" (OPODIS 2014): a stamp is higher than any that the process has
+// issued or observed, and stays close to the wall clock. Observed stamps too far
+// ahead of the wall clock are ignored.
+//
+// An entry is a process that accepts requests and tasks from callers.
 package timeline
