--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -240,7 +240,7 @@
 	for _, name := range accounts {
 		acc := site.Account{Name: name, Keys: []string{run.keys[name]}}
 		if name == accounts[0] {
-			acc.CPULimit = smallCapMilliCPU
+			acc.CPUCap = smallCapMilliCPU
 		}
 		cfg.Accounts = append(cfg.Accounts, acc)
 	}
--- a/internal/standin/site/operator.go
+++ b/internal/standin/site/operator.go
@@ -36,8 +36,8 @@
 	Name   string
 	Keys   []string
 	Weight int
-	// CPULimit is the account's cap, in millicores; 0 means no cap.
-	CPULimit int64
+	// CPUCap is the account's cap, in millicores; 0 means no cap.
+	CPUCap int64
 }
 
 // Host is the host name of all queues.
@@ -71,7 +71,7 @@
 	}
 	for _, acc := range cfg.Accounts {
 		tenants = append(tenants, map[string]any{
-			"name": acc.Name, "api-keys": acc.Keys, "weight": acc.Weight, "cap": map[string]int64{"cpu": acc.CPULimit},
+			"name": acc.Name, "api-keys": acc.Keys, "weight": acc.Weight, "cap": map[string]int64{"cpu": acc.CPUCap},
 		})
 	}
 	sit.Store.Put("op/config", map[string]any{"version": cfg.Version, "routes": routes, "services": services, "tenants": tenants})
