--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -38,7 +38,7 @@
 	case StoreDown:
 		run.sit.Store.SetDown(true)
 		afterFault(func() { run.sit.Store.SetDown(false) })
-	case StoreReplyLost:
+	case StoreResponseLost:
 		run.sit.Store.DropResponses(droppedResponses)
 	case StoreCompact:
 		run.sit.Store.Compact()
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -13,25 +13,25 @@
 // connections of one process to the store, VM faults one VM or the connections to
 // it. Up is the direction to the store, down the one from it.
 const (
-	NodeKill       Kind = "node_kill"
-	NodeTerm       Kind = "node_term"
-	NodePause      Kind = "node_pause"
-	NodeReload     Kind = "node_reload"
-	LinkReset      Kind = "link_reset"
-	LinkSilence    Kind = "link_silence"
-	LinkCutUp      Kind = "link_cut_up"
-	LinkCutDown    Kind = "link_cut_down"
-	LinkDelay      Kind = "link_delay"
-	VMReset        Kind = "vm_reset"
-	VMSilence      Kind = "vm_silence"
-	VMCut          Kind = "vm_cut"
-	VMCrash        Kind = "vm_crash"
-	StoreDown      Kind = "store_down"
-	StoreReplyLost Kind = "store_lost"
-	StoreCompact   Kind = "store_compact"
-	KeyChange      Kind = "key_change"
-	ZoneOut        Kind = "zone_out"
-	WaveRequested  Kind = "wave_asked"
+	NodeKill          Kind = "node_kill"
+	NodeTerm          Kind = "node_term"
+	NodePause         Kind = "node_pause"
+	NodeReload        Kind = "node_reload"
+	LinkReset         Kind = "link_reset"
+	LinkSilence       Kind = "link_silence"
+	LinkCutUp         Kind = "link_cut_up"
+	LinkCutDown       Kind = "link_cut_down"
+	LinkDelay         Kind = "link_delay"
+	VMReset           Kind = "vm_reset"
+	VMSilence         Kind = "vm_silence"
+	VMCut             Kind = "vm_cut"
+	VMCrash           Kind = "vm_crash"
+	StoreDown         Kind = "store_down"
+	StoreResponseLost Kind = "store_lost"
+	StoreCompact      Kind = "store_compact"
+	KeyChange         Kind = "key_change"
+	ZoneOut           Kind = "zone_out"
+	WaveRequested     Kind = "wave_asked"
 )
 
 // weights holds the relative frequency of each kind.
@@ -42,7 +42,7 @@
 	{NodeKill, 3}, {NodeTerm, 4}, {NodePause, 3}, {NodeReload, 1},
 	{LinkReset, 2}, {LinkSilence, 2}, {LinkCutUp, 2}, {LinkCutDown, 2}, {LinkDelay, 2},
 	{VMReset, 2}, {VMSilence, 2}, {VMCut, 2}, {VMCrash, 2},
-	{StoreDown, 1}, {StoreReplyLost, 2}, {StoreCompact, 2},
+	{StoreDown, 1}, {StoreResponseLost, 2}, {StoreCompact, 2},
 	{KeyChange, 2}, {ZoneOut, 1}, {WaveRequested, 1},
 }
 
