--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -62,12 +62,12 @@
 	Steps   []Step
 }
 
-// Outcome is the outcome of a submission as its caller observes it.
-type Outcome int
+// SubmissionOutcome is the outcome of a submission as its caller observes it.
+type SubmissionOutcome int
 
 // Outcomes of a submission.
 const (
-	Accepted Outcome = iota
+	Accepted SubmissionOutcome = iota
 	// Refused submissions are guaranteed never to run.
 	Refused
 	// Unanswered submissions may have been accepted.
@@ -166,7 +166,7 @@
 
 // Answer records the outcome of a submission that was sent at a given time with
 // a given key.
-func (led *Ledger) Answer(now, sent time.Time, id, key string, out Outcome) {
+func (led *Ledger) Answer(now, sent time.Time, id, key string, out SubmissionOutcome) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	rec := led.jobs[id]
