--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -29,8 +29,8 @@
 	// Overrun is the fraction by which an account may exceed its cap, in addition
 	// to one task.
 	Overrun float64
-	// VMMilliCPU is the capacity of a VM, in millicores.
-	VMMilliCPU int64
+	// VMMillicores is the capacity of a VM, in millicores.
+	VMMillicores int64
 	// Attempts is the number of failed runs after which a task fails.
 	Attempts int
 }
@@ -38,7 +38,7 @@
 // PlatformBounds are the limits that the platform's specification sets for its
 // smaller sites.
 var PlatformBounds = Bounds{
-	Revoke: 5 * time.Second, Evacuate: 5 * time.Second, Cancel: 3 * time.Second, Overrun: 0.1, VMMilliCPU: 16_000, Attempts: 4,
+	Revoke: 5 * time.Second, Evacuate: 5 * time.Second, Cancel: 3 * time.Second, Overrun: 0.1, VMMillicores: 16_000, Attempts: 4,
 }
 
 // Step is a group of equal tasks of a job.
@@ -330,8 +330,8 @@
 	tas.running++
 	led.vmCPU[vm] += ste.CPU
 	led.accountCPU[rec.Account] += ste.CPU
-	if led.vmCPU[vm] > led.bounds.VMMilliCPU {
-		led.addViolation(now, "%s raises the load of %s to %d of %d millicores", task, vm, led.vmCPU[vm], led.bounds.VMMilliCPU)
+	if led.vmCPU[vm] > led.bounds.VMMillicores {
+		led.addViolation(now, "%s raises the load of %s to %d of %d millicores", task, vm, led.vmCPU[vm], led.bounds.VMMillicores)
 	}
 	if limit := led.accountCaps[rec.Account]; limit > 0 && float64(led.accountCPU[rec.Account]) > float64(limit)*(1+led.bounds.Overrun)+float64(ste.CPU) {
 		led.addViolation(now, "%s raises the load of account %s to %d of %d millicores", task, rec.Account, led.accountCPU[rec.Account], limit)
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -59,9 +59,9 @@
 	callerCount         = 6
 )
 
-// smallCapMilliCPU is the cap of the account that has one, in millicores: about
+// smallCapMillicores is the cap of the account that has one, in millicores: about
 // one and a half times what the callers request for it.
-const smallCapMilliCPU = 24_000
+const smallCapMillicores = 24_000
 
 // Run is one run of the soak: the stand-in, the processes, the ledger and the
 // faults in progress.
@@ -85,7 +85,7 @@
 // Execute executes a run. It returns an error if the run could not be set up;
 // violated invariants are in the report.
 func Execute(ctx context.Context, opt Options) (rep Report, err error) {
-	run := &Run{opt: opt, keys: map[string]string{}, ledger: ledger.New(ledger.PlatformBounds, map[string]int64{accounts[0]: smallCapMilliCPU})}
+	run := &Run{opt: opt, keys: map[string]string{}, ledger: ledger.New(ledger.PlatformBounds, map[string]int64{accounts[0]: smallCapMillicores})}
 	defer run.close()
 	if err := run.start(); err != nil {
 		return Report{}, fmt.Errorf("soak with seed %d: %w", opt.Seed, err)
@@ -240,7 +240,7 @@
 	for _, name := range accounts {
 		acc := site.Account{Name: name, Keys: []string{run.keys[name]}}
 		if name == accounts[0] {
-			acc.CPUCap = smallCapMilliCPU
+			acc.CPUCap = smallCapMillicores
 		}
 		cfg.Accounts = append(cfg.Accounts, acc)
 	}
