--- a/internal/demo/callers.go
+++ b/internal/demo/callers.go
@@ -28,7 +28,7 @@
 	// repeatable calls may run more than once.
 	repeatable bool
 	// entry is the entry that the call was sent to, or nil if none was live.
-	entry      *process
+	entry      *entry
 	sentAt     time.Time
 	answeredAt time.Time
 	status     int
@@ -72,7 +72,7 @@
 }
 
 // pick returns the next live entry in round-robin order, or nil if there is none.
-func (cal *callers) pick() *process {
+func (cal *callers) pick() *entry {
 	live := cal.cluster.live()
 	if len(live) == 0 {
 		return nil
@@ -134,11 +134,11 @@
 
 // submit submits a task and records it if it was accepted.
 func (cal *callers) submit(key, queue, payload string, repeatable bool) {
-	prc := cal.pick()
-	if prc == nil {
+	ent := cal.pick()
+	if ent == nil {
 		return
 	}
-	address := "http://" + prc.runner.CallersListener.Addr().String() + "/v1/queues/" + queue + "/tasks"
+	address := "http://" + ent.runner.CallersListener.Addr().String() + "/v1/queues/" + queue + "/tasks"
 	tsk, status, err := cal.doTaskRequest(http.MethodPost, address, key, payload)
 	cal.mu.Lock()
 	defer cal.mu.Unlock()
@@ -175,8 +175,8 @@
 			if subs[i].state == "done" || subs[i].state == "parked" || subs[i].state == "unknown" {
 				continue
 			}
-			prc := cal.pick()
-			address := "http://" + prc.runner.CallersListener.Addr().String() + "/v1/tasks/" + subs[i].taskID
+			ent := cal.pick()
+			address := "http://" + ent.runner.CallersListener.Addr().String() + "/v1/tasks/" + subs[i].taskID
 			if tsk, status, err := cal.doTaskRequest(http.MethodGet, address, subs[i].key, ""); err == nil && status == http.StatusOK {
 				subs[i].state = tsk.State
 			}
--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -46,11 +46,11 @@
 	logger     *logrus.Logger
 
 	mu        sync.Mutex
-	processes []*process
+	entries []*entry
 }
 
-// process is an entry.
-type process struct {
+// entry is an entry that was started, with the client of its admin API.
+type entry struct {
 	runner *runner.Runner
 	admin  *adminclient.Client
 	// done is closed when the entry has ended.
@@ -97,7 +97,7 @@
 
 // startEntry starts an entry with the settings at an index. The platform reuses
 // the settings of an entry in the same way when it replaces its VM.
-func (cls *cluster) startEntry(index int) (prc *process, err error) {
+func (cls *cluster) startEntry(index int) (ent *entry, err error) {
 	set := cls.settings[index]
 	for _, other := range cls.live() {
 		set.Peers = append(set.Peers, other.runner.PeerListener.Addr().String())
@@ -106,31 +106,31 @@
 	if err != nil {
 		return nil, err
 	}
-	prc = &process{
+	ent = &entry{
 		runner: rnr, done: make(chan struct{}),
 		admin: adminclient.New(rnr.AdminListener.Addr().String(), cls.credential),
 	}
 	go func() {
 		_ = rnr.Run()
-		close(prc.done)
+		close(ent.done)
 	}()
 	cls.mu.Lock()
 	defer cls.mu.Unlock()
-	cls.processes = append(cls.processes, prc)
-	return prc, nil
+	cls.entries = append(cls.entries, ent)
+	return ent, nil
 }
 
 // live returns the entries that get new calls: those that run and are not leaving.
-func (cls *cluster) live() []*process {
+func (cls *cluster) live() []*entry {
 	cls.mu.Lock()
 	defer cls.mu.Unlock()
-	var live []*process
-	for _, prc := range cls.processes {
+	var live []*entry
+	for _, ent := range cls.entries {
 		select {
-		case <-prc.done:
+		case <-ent.done:
 		default:
-			if !prc.leaving {
-				live = append(live, prc)
+			if !ent.leaving {
+				live = append(live, ent)
 			}
 		}
 	}
@@ -138,19 +138,19 @@
 }
 
 // setLeaving stops new calls to an entry.
-func (cls *cluster) setLeaving(prc *process) {
+func (cls *cluster) setLeaving(ent *entry) {
 	cls.mu.Lock()
 	defer cls.mu.Unlock()
-	prc.leaving = true
+	ent.leaving = true
 }
 
 // await waits until a condition holds at every live entry.
-func (cls *cluster) await(ctx context.Context, what string, holds func(prc *process) bool) error {
+func (cls *cluster) await(ctx context.Context, what string, holds func(ent *entry) bool) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
 		all := true
-		for _, prc := range cls.live() {
-			all = all && holds(prc)
+		for _, ent := range cls.live() {
+			all = all && holds(ent)
 		}
 		if all {
 			return nil
@@ -167,32 +167,32 @@
 // describe returns the status of each live entry, for an error message.
 func (cls *cluster) describe() string {
 	var text strings.Builder
-	for _, prc := range cls.live() {
-		sts, err := prc.admin.Status(context.Background())
-		fmt.Fprintf(&text, "%s: %+v %v; ", prc.runner.ID(), sts, err)
+	for _, ent := range cls.live() {
+		sts, err := ent.admin.Status(context.Background())
+		fmt.Fprintf(&text, "%s: %+v %v; ", ent.runner.ID(), sts, err)
 	}
 	return text.String()
 }
 
 // isVoting reports whether an entry votes and has a fresh configuration.
-func (cls *cluster) isVoting(prc *process) bool {
-	sts, err := prc.admin.Status(context.Background())
+func (cls *cluster) isVoting(ent *entry) bool {
+	sts, err := ent.admin.Status(context.Background())
 	return err == nil && sts.Voting && sts.Fresh
 }
 
 // hasVMs reports whether an entry has assigned every VM of the tables to a pool.
-func (cls *cluster) hasVMs(prc *process) bool {
-	cfg, err := prc.admin.Config(context.Background())
+func (cls *cluster) hasVMs(ent *entry) bool {
+	cfg, err := ent.admin.Config(context.Background())
 	return err == nil && len(cfg.VMs) == len(cls.AZs)
 }
 
 func (cls *cluster) stop() {
 	cls.mu.Lock()
-	processes := cls.processes
+	entries := cls.entries
 	cls.mu.Unlock()
-	for _, prc := range processes {
-		prc.runner.Kill()
-		<-prc.done
+	for _, ent := range entries {
+		ent.runner.Kill()
+		<-ent.done
 	}
 	cls.Fleet.Stop()
 }
--- a/internal/demo/scenario.go
+++ b/internal/demo/scenario.go
@@ -302,14 +302,14 @@
 		return fmt.Errorf("entry %s did not shut down", old.runner.ID())
 	}
 	dem.step("entry %s has shut down", old.runner.ID())
-	prc, err := dem.cluster.startEntry(0)
+	ent, err := dem.cluster.startEntry(0)
 	if err != nil {
 		return err
 	}
 	if err := dem.cluster.await(ctx, "the new entry votes", dem.cluster.isVoting); err != nil {
 		return err
 	}
-	dem.step("entry %s has taken its place", prc.runner.ID())
+	dem.step("entry %s has taken its place", ent.runner.ID())
 	return pause(ctx, time.Second)
 }
 
--- a/internal/demo/watch.go
+++ b/internal/demo/watch.go
@@ -64,17 +64,17 @@
 // sample polls every live entry. An entry that does not reply is left out.
 func (wch *revisionWatch) sample(ctx context.Context) {
 	lowest := int64(-1)
-	for _, prc := range wch.cluster.live() {
-		cfg, err := prc.admin.Config(ctx)
+	for _, ent := range wch.cluster.live() {
+		cfg, err := ent.admin.Config(ctx)
 		if err != nil {
 			continue
 		}
 		wch.mu.Lock()
 		wch.obs.samples++
-		if cfg.Revision < wch.revisions[prc.runner.ID()] {
+		if cfg.Revision < wch.revisions[ent.runner.ID()] {
 			wch.obs.regressions++
 		}
-		wch.revisions[prc.runner.ID()] = cfg.Revision
+		wch.revisions[ent.runner.ID()] = cfg.Revision
 		seen := map[string]bool{}
 		for _, asg := range cfg.VMs {
 			if seen[asg.VM] {
