--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -103,7 +103,7 @@
 	text := jobBody(job)
 	for end := time.Now().Add(submitTimeout); time.Now().Before(end) && ctx.Err() == nil; {
 		key := cal.run.key(job.Account)
-		cal.run.ledger.Send(job)
+		cal.run.ledger.Submitted(job)
 		sent := time.Now()
 		status, _ := cal.call(cal.rng, http.MethodPost, job, key, text)
 		out := ledger.Unanswered
--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -154,8 +154,8 @@
 	led.addViolation(now, "%s", text)
 }
 
-// Send records that a job is being submitted.
-func (led *Ledger) Send(job Job) {
+// Submitted records that a job is being submitted.
+func (led *Ledger) Submitted(job Job) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	if led.jobs[job.ID] == nil {
--- a/internal/soak/ledger/ledger_test.go
+++ b/internal/soak/ledger/ledger_test.go
@@ -15,7 +15,7 @@
 func newTestLedger() *Ledger {
 	led := New(PlatformBounds, map[string]int64{"small": 12_000})
 	job := Job{ID: "j", Account: "small", Payload: "p", Steps: []Step{{Count: 2, CPU: 2000}, {Count: 1, CPU: 2000, After: []int{0}}}}
-	led.Send(job)
+	led.Submitted(job)
 	led.Answer(noon, noon, "j", "k", Accepted)
 	return led
 }
@@ -59,12 +59,12 @@
 		}
 	}, "after 4 failed runs"},
 	{"VM over capacity", func(led *Ledger) {
-		led.Send(Job{ID: "b", Account: "large", Payload: "p", Steps: []Step{{Count: 1, CPU: 17_000}}})
+		led.Submitted(Job{ID: "b", Account: "large", Payload: "p", Steps: []Step{{Count: 1, CPU: 17_000}}})
 		led.Answer(noon, noon, "b", "k", Accepted)
 		led.Started(noon, "vm", "az0", "b.0.0.0", 1, "p")
 	}, "raises the load of vm to 17000 of 16000 millicores"},
 	{"account over cap", func(led *Ledger) {
-		led.Send(Job{ID: "b", Account: "small", Payload: "p", Steps: []Step{{Count: 9, CPU: 2000}}})
+		led.Submitted(Job{ID: "b", Account: "small", Payload: "p", Steps: []Step{{Count: 9, CPU: 2000}}})
 		led.Answer(noon, noon, "b", "k", Accepted)
 		for i := range 8 {
 			led.Started(noon, []string{"vm", "oth"}[i%2], "az0", taskName("b", 0, i), 1, "p")
@@ -73,7 +73,7 @@
 	{"never submitted", func(led *Ledger) { led.Started(noon, "vm", "az0", "x.0.0.0", 1, "p") }, "no caller submitted it with this payload"},
 	{"another payload", func(led *Ledger) { led.Started(noon, "vm", "az0", first, 1, "q") }, "no caller submitted it with this payload"},
 	{"run of refused job", func(led *Ledger) {
-		led.Send(Job{ID: "r", Payload: "p", Steps: []Step{{Count: 1}}})
+		led.Submitted(Job{ID: "r", Payload: "p", Steps: []Step{{Count: 1}}})
 		led.Answer(noon, noon, "r", "k", Refused)
 		led.Started(noon, "vm", "az0", "r.0.0.0", 1, "p")
 	}, "but every submission of its job was refused"},
@@ -98,7 +98,7 @@
 	}, "after its job was cancelled"},
 	{"withdrawn key", func(led *Ledger) {
 		led.Withdraw(noon, "k")
-		led.Send(Job{ID: "w"})
+		led.Submitted(Job{ID: "w"})
 		led.Answer(noon.Add(6*time.Second), noon.Add(6*time.Second), "w", "k", Accepted)
 	}, "with a key that had been withdrawn 6s earlier"},
 	{"zone out", func(led *Ledger) {
