--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -116,7 +116,7 @@
 		default:
 			cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("submission of job %s was answered with status %d", job.ID, status))
 		}
-		cal.run.ledger.Answer(time.Now(), sent, job.ID, key, out)
+		cal.run.ledger.Answered(time.Now(), sent, job.ID, key, out)
 		if out == ledger.Accepted {
 			return true
 		}
--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -164,9 +164,9 @@
 	led.jobs[job.ID].openSubmissions++
 }
 
-// Answer records the outcome of a submission that was sent at a given time with
+// Answered records the outcome of a submission that was sent at a given time with
 // a given key.
-func (led *Ledger) Answer(now, sent time.Time, id, key string, out SubmissionOutcome) {
+func (led *Ledger) Answered(now, sent time.Time, id, key string, out SubmissionOutcome) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	rec := led.jobs[id]
--- a/internal/soak/ledger/ledger_test.go
+++ b/internal/soak/ledger/ledger_test.go
@@ -16,7 +16,7 @@
 	led := New(PlatformBounds, map[string]int64{"small": 12_000})
 	job := Job{ID: "j", Account: "small", Payload: "p", Steps: []Step{{Count: 2, CPU: 2000}, {Count: 1, CPU: 2000, After: []int{0}}}}
 	led.Submitted(job)
-	led.Answer(noon, noon, "j", "k", Accepted)
+	led.Answered(noon, noon, "j", "k", Accepted)
 	return led
 }
 
@@ -60,12 +60,12 @@
 	}, "after 4 failed runs"},
 	{"VM over capacity", func(led *Ledger) {
 		led.Submitted(Job{ID: "b", Account: "large", Payload: "p", Steps: []Step{{Count: 1, CPU: 17_000}}})
-		led.Answer(noon, noon, "b", "k", Accepted)
+		led.Answered(noon, noon, "b", "k", Accepted)
 		led.Started(noon, "vm", "az0", "b.0.0.0", 1, "p")
 	}, "raises the load of vm to 17000 of 16000 millicores"},
 	{"account over cap", func(led *Ledger) {
 		led.Submitted(Job{ID: "b", Account: "small", Payload: "p", Steps: []Step{{Count: 9, CPU: 2000}}})
-		led.Answer(noon, noon, "b", "k", Accepted)
+		led.Answered(noon, noon, "b", "k", Accepted)
 		for i := range 8 {
 			led.Started(noon, []string{"vm", "oth"}[i%2], "az0", taskName("b", 0, i), 1, "p")
 		}
@@ -74,7 +74,7 @@
 	{"another payload", func(led *Ledger) { led.Started(noon, "vm", "az0", first, 1, "q") }, "no caller submitted it with this payload"},
 	{"run of refused job", func(led *Ledger) {
 		led.Submitted(Job{ID: "r", Payload: "p", Steps: []Step{{Count: 1}}})
-		led.Answer(noon, noon, "r", "k", Refused)
+		led.Answered(noon, noon, "r", "k", Refused)
 		led.Started(noon, "vm", "az0", "r.0.0.0", 1, "p")
 	}, "but every submission of its job was refused"},
 	{"run of cancelled job", func(led *Ledger) {
@@ -99,7 +99,7 @@
 	{"withdrawn key", func(led *Ledger) {
 		led.Withdraw(noon, "k")
 		led.Submitted(Job{ID: "w"})
-		led.Answer(noon.Add(6*time.Second), noon.Add(6*time.Second), "w", "k", Accepted)
+		led.Answered(noon.Add(6*time.Second), noon.Add(6*time.Second), "w", "k", Accepted)
 	}, "with a key that had been withdrawn 6s earlier"},
 	{"zone out", func(led *Ledger) {
 		led.ZoneOut(noon, "az0")
