--- a/internal/soak/ledger/ledger.go
+++ b/internal/soak/ledger/ledger.go
@@ -178,8 +178,8 @@
 	}
 }
 
-// Withdraw records that a key was withdrawn.
-func (led *Ledger) Withdraw(now time.Time, key string) {
+// KeyWithdrawn records that a key was withdrawn.
+func (led *Ledger) KeyWithdrawn(now time.Time, key string) {
 	led.mu.Lock()
 	defer led.mu.Unlock()
 	led.withdrawnKeys[key] = now
--- a/internal/soak/ledger/ledger_test.go
+++ b/internal/soak/ledger/ledger_test.go
@@ -97,7 +97,7 @@
 		led.Started(noon.Add(4*time.Second), "vm.2", "az0", first, 1, "p")
 	}, "after its job was cancelled"},
 	{"withdrawn key", func(led *Ledger) {
-		led.Withdraw(noon, "k")
+		led.KeyWithdrawn(noon, "k")
 		led.Submitted(Job{ID: "w"})
 		led.Answered(noon.Add(6*time.Second), noon.Add(6*time.Second), "w", "k", Accepted)
 	}, "with a key that had been withdrawn 6s earlier"},
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -247,7 +247,7 @@
 	run.sit.Configure(cfg)
 	for _, key := range withdrawn {
 		if key != "" {
-			run.ledger.Withdraw(time.Now(), key)
+			run.ledger.KeyWithdrawn(time.Now(), key)
 		}
 	}
 }
