--- a/cmd/balsamgauge/main.go
+++ b/cmd/balsamgauge/main.go
@@ -1,5 +1,6 @@
-// Command balsamgauge runs entries and other processes of the system, and is the
-// operators' client for running entries.
+// Command balsamgauge runs the processes of the system, and is the operators'
+// client for running entries. An entry is a process that accepts requests and
+// tasks from callers.
 package main
 
 import (
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -235,8 +235,7 @@
 // Zones returns the names of the availability zones.
 func (sit *Site) Zones() []string { return []string{zoneName(0), zoneName(1), zoneName(2)} }
 
-// Violations describes what the system did wrong, as seen by the VMs and the
-// machines.
+// Violations describes the violations that the VMs and the machines observed.
 func (sit *Site) Violations() []string {
 	sit.mu.Lock()
 	defer sit.mu.Unlock()
--- a/internal/standin/site/worker.go
+++ b/internal/standin/site/worker.go
@@ -314,6 +314,8 @@
 		}
 		wor.mu.Lock()
 	}
+	// A row of running is a task with its run, checkpoint, percentage and load; one
+	// of finished is a sequence number, a task with its run, outcome and checkpoint.
 	running, finished := [][]any{}, [][]any{}
 	for task, run := range wor.runs {
 		running = append(running, []any{task, run.run, "", 100, 0})
