--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -78,7 +78,7 @@
 	}
 	stp.st.view = stp.st.view.WithPeer(per)
 	stp.st.echoes = stp.st.echoes.Set(from, hbt.SentNanos)
-	stp.hearSpares(from, hbt.Spare)
+	stp.hearSpares(from, hbt.SparePermits)
 	for _, vmID := range hbt.SeenLeaving {
 		if !stp.st.fleet.IsLeaving(vmID) {
 			stp.st.fleet = stp.st.fleet.WithLeaving(vmID, stp.now)
@@ -139,13 +139,13 @@
 func (stp *step) sendHeartbeat(to string, spares []message.SparePermits) {
 	echo, _ := stp.st.echoes.Get(to)
 	hbt := message.Heartbeat{
-		Revision:    stp.st.config.Revision,
-		AZ:          stp.st.set.AZ,
-		SentNanos:   max(1, stp.now.Sub(stp.st.started).Nanoseconds()),
-		Echo:        echo,
-		Leaving:     stp.st.view.Leaving(),
-		SeenLeaving: stp.st.fleet.SeenLeaving(),
-		Spare:       spares,
+		Revision:     stp.st.config.Revision,
+		AZ:           stp.st.set.AZ,
+		SentNanos:    max(1, stp.now.Sub(stp.st.started).Nanoseconds()),
+		Echo:         echo,
+		Leaving:      stp.st.view.Leaving(),
+		SeenLeaving:  stp.st.fleet.SeenLeaving(),
+		SparePermits: spares,
 	}
 	for _, vtr := range stp.st.config.Voters {
 		if stp.st.view.IsGone(vtr.ID) {
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -29,8 +29,8 @@
 	SentNanos int64 `json:"sent"`
 	Echo      int64 `json:"echo"`
 	Leaving   bool  `json:"leaving,omitempty"`
-	// Spare lists the permits that the sender can transfer, by team.
-	Spare []SparePermits `json:"spare,omitempty"`
+	// SparePermits lists the permits that the sender can transfer, by team.
+	SparePermits []SparePermits `json:"spare,omitempty"`
 	// SeenLeaving lists the VMs that the sender observed shutting down.
 	SeenLeaving []string `json:"seen_leaving,omitempty"`
 	// Gone lists the voters that the sender knows to have terminated.
--- a/internal/core/message/wire_test.go
+++ b/internal/core/message/wire_test.go
@@ -12,7 +12,7 @@
 
 // samples holds one message of each type.
 var samples = []message.Message{
-	message.Heartbeat{Revision: 3, AZ: "a", SentNanos: 5, Echo: 4, Spare: []message.SparePermits{{Team: "t", Permits: 2}}},
+	message.Heartbeat{Revision: 3, AZ: "a", SentNanos: 5, Echo: 4, SparePermits: []message.SparePermits{{Team: "t", Permits: 2}}},
 	message.Edits{Edits: []table.Edit{table.NewEdit(4, "n", table.AZSet{AZ: "a", Out: true})}},
 	message.SnapshotRequest{Have: 2},
 	message.Snapshot{Config: []byte("{}")},
