--- a/internal/core/entry/permits.go
+++ b/internal/core/entry/permits.go
@@ -142,8 +142,8 @@
 		stp.markBusyDirty()
 	}
 	stp.send(from, message.PermitTransfer{
-		Totals: stp.st.ledger.SentTo(from),
-		Spare:  []message.SparePermits{{Team: ask.Team, Permits: stp.spareOf(ask.Team)}},
+		Totals:       stp.st.ledger.SentTo(from),
+		SparePermits: []message.SparePermits{{Team: ask.Team, Permits: stp.spareOf(ask.Team)}},
 	})
 }
 
@@ -181,7 +181,7 @@
 		}
 		stp.markBusyDirty()
 	}
-	stp.hearSpares(from, msg.Spare)
+	stp.hearSpares(from, msg.SparePermits)
 }
 
 // changedSpares lists the teams whose spare permits have changed so much since
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -143,8 +143,9 @@
 // PermitTransfer carries the cumulative counts of permits sent to a member.
 type PermitTransfer struct {
 	Totals []permit.Total `json:"totals"`
-	// Spare lists what the sender can still transfer of the listed teams.
-	Spare []SparePermits `json:"spare,omitempty"`
+	// SparePermits lists the permits that the sender can still transfer, for the
+	// teams of Totals.
+	SparePermits []SparePermits `json:"spare,omitempty"`
 }
 
 // Freeze requests that a member stop transfers with members that are about to
