--- a/internal/core/store/store.go
+++ b/internal/core/store/store.go
@@ -119,10 +119,12 @@
 }
 
 // Failed means that the operation returned no result. A Write may still have
-// taken effect unless Refused is set.
+// taken effect unless NotSent is set.
 type Failed struct {
-	Reason  string
-	Refused bool
+	Reason string
+	// NotSent reports whether the call is guaranteed not to have reached the
+	// store.
+	NotSent bool
 }
 
 func (Values) isResult()  {}
--- a/internal/etcd/client.go
+++ b/internal/etcd/client.go
@@ -47,7 +47,7 @@
 func (cli *Client) Call(ctx context.Context, op store.Op) store.Result {
 	res, err := cli.call(ctx, op)
 	if err != nil {
-		return store.Failed{Reason: err.Error(), Refused: netfail.IsDialError(err)}
+		return store.Failed{Reason: err.Error(), NotSent: netfail.IsDialError(err)}
 	}
 	return res
 }
