--- a/internal/core/entry/tasks.go
+++ b/internal/core/entry/tasks.go
@@ -210,7 +210,7 @@
 
 func (stp *step) taskStartEnded(evt event.TaskStartEnded) {
 	wrk, ok := stp.st.works.Get(evt.Work)
-	if !ok || wrk.Phase != work.PhaseRunning || wrk.Attempt != evt.Attempt || !evt.Refused {
+	if !ok || wrk.Phase != work.PhaseRunning || wrk.Attempt != evt.Attempt || !evt.NotAccepted {
 		return
 	}
 	stp.suspect(wrk.VM)
--- a/internal/core/entry/worker_test.go
+++ b/internal/core/entry/worker_test.go
@@ -74,7 +74,7 @@
 	}
 	drv.after(time.Millisecond, func() {
 		if eff.Attempt <= wkr.fences[eff.TaskID] {
-			end.Refused = true
+			end.NotAccepted = true
 		} else {
 			end.Accepted = true
 			wkr.fences[eff.TaskID] = eff.Attempt
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -128,11 +128,12 @@
 type TaskStartEnded struct {
 	Work    work.ID
 	Attempt int
-	// Refused means that the worker is guaranteed not to have accepted the
-	// task. When neither Refused nor Accepted is set, it may have accepted it.
-	Accepted bool
-	Refused  bool
-	Reason   string
+	// Accepted means that the worker accepted the task; NotAccepted means that
+	// it is guaranteed not to have. When neither is set, the worker may have
+	// accepted the task.
+	Accepted    bool
+	NotAccepted bool
+	Reason      string
 }
 
 // WorkerReported is the result of PollWorker.
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -89,11 +89,11 @@
 	switch {
 	case err != nil:
 		ended.Reason = err.Error()
-		ended.Refused = netfail.IsDialError(err)
+		ended.NotAccepted = netfail.IsDialError(err)
 	case status == http.StatusOK:
 		ended.Accepted = true
 	default:
-		ended.Refused = true
+		ended.NotAccepted = true
 		ended.Reason = fmt.Sprintf("the worker answered %d", status)
 	}
 	return ended
