--- a/internal/core/entry/driver_test.go
+++ b/internal/core/entry/driver_test.go
@@ -164,7 +164,7 @@
 	}
 	drv.nodes = append(drv.nodes, nod)
 	drv.feed(nod, event.Started{})
-	drv.feed(nod, event.FleetListed{VMs: drv.fleet})
+	drv.feed(nod, event.VMsListed{VMs: drv.fleet})
 	for _, other := range drv.nodes {
 		if other != nod && other.alive {
 			drv.feed(nod, event.PeerUp{Member: other.id, AZ: other.az})
--- a/internal/core/entry/edit_test.go
+++ b/internal/core/entry/edit_test.go
@@ -107,7 +107,7 @@
 	drv.operate(left, "before", table.TablesReplaced{Tables: small.tables()})
 	drv.run(5 * time.Second)
 	assert.Equal(t, drv.told["before"].code, outcome.CodeNoFreshConfig)
-	drv.feed(left, event.FleetListed{VMs: own[:1]})
+	drv.feed(left, event.VMsListed{VMs: own[:1]})
 	drv.operate(left, "after", table.TablesReplaced{Tables: small.tables()})
 	drv.run(30 * time.Second)
 	assert.Equal(t, drv.told["after"].outcome, outcome.Accepted)
--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -163,7 +163,7 @@
 	}
 }
 
-func (stp *step) fleetListed(evt event.FleetListed) {
+func (stp *step) vmsListed(evt event.VMsListed) {
 	stp.noteGoneVMs(evt)
 	stp.st.fleet = stp.st.fleet.WithList(evt.VMs, stp.now)
 	for _, asg := range stp.st.config.VMs {
@@ -177,7 +177,7 @@
 
 // noteGoneVMs takes the voters for gone whose own VM the platform listed before
 // and lists no more. A VM that was never listed proves nothing: the list lags.
-func (stp *step) noteGoneVMs(evt event.FleetListed) {
+func (stp *step) noteGoneVMs(evt event.VMsListed) {
 	var gone []string
 	for _, vtr := range stp.st.config.Voters {
 		_, was := stp.st.fleet.VM(vtr.VM)
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -53,8 +53,8 @@
 		stp.storeAnswered(evt)
 	case event.StoreChanged:
 		stp.readHead()
-	case event.FleetListed:
-		stp.fleetListed(evt)
+	case event.VMsListed:
+		stp.vmsListed(evt)
 	case event.ChangeRequested:
 		stp.operatorAsked(evt)
 	case event.MembersGone:
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -170,9 +170,9 @@
 // changed.
 type StoreChanged struct{}
 
-// FleetListed is the platform's list of VMs, which lags behind their actual
+// VMsListed is the platform's list of VMs, which lags behind their actual
 // state. A driver feeds it when the list has changed.
-type FleetListed struct{ VMs []vm.VM }
+type VMsListed struct{ VMs []vm.VM }
 
 // ChangeRequested is an operator's request to change the configuration.
 type ChangeRequested struct {
@@ -213,7 +213,7 @@
 func (MessageReceived) isEvent()   {}
 func (StoreAnswered) isEvent()     {}
 func (StoreChanged) isEvent()      {}
-func (FleetListed) isEvent()       {}
+func (VMsListed) isEvent()         {}
 func (ChangeRequested) isEvent()   {}
 func (StatusRequested) isEvent()   {}
 func (ShutdownRequested) isEvent() {}
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -143,8 +143,8 @@
 // PermitTransfer carries the cumulative counts of permits sent to a member.
 type PermitTransfer struct {
 	Totals []permit.Total `json:"totals"`
-	// SparePermits lists the permits that the sender can still transfer, for the
-	// teams of Totals.
+	// SparePermits lists the permits that the sender can still transfer, by
+	// team.
 	SparePermits []SparePermits `json:"spare,omitempty"`
 }
 
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -266,6 +266,7 @@
 // name of the type, so that renaming a type does not rename its metric.
 var timerNames = map[reflect.Type]string{
 	reflect.TypeFor[event.MessageReceived]():   "peersaid",
+	reflect.TypeFor[event.VMsListed]():         "fleetlisted",
 	reflect.TypeFor[event.TaskQueried]():       "taskasked",
 	reflect.TypeFor[event.ChangeRequested]():   "operatorasked",
 	reflect.TypeFor[event.StatusRequested]():   "statusasked",
@@ -305,7 +306,7 @@
 		switch {
 		case err == nil && (previous == nil || !slices.Equal(previous, vms)):
 			previous = vms
-			rnr.Post(event.FleetListed{VMs: vms})
+			rnr.Post(event.VMsListed{VMs: vms})
 			ids := make(map[string]bool, len(vms))
 			for _, listed := range vms {
 				ids[listed.ID] = true
--- a/internal/runner/timer_test.go
+++ b/internal/runner/timer_test.go
@@ -18,7 +18,7 @@
 
 // timedEvents contains one event of each type.
 var timedEvents = []event.Event{
-	event.AcceptingStopped{}, event.AttemptEnded{}, event.FleetListed{}, event.MembersGone{}, event.ChangeRequested{},
+	event.AcceptingStopped{}, event.AttemptEnded{}, event.VMsListed{}, event.MembersGone{}, event.ChangeRequested{},
 	event.PeerDown{}, event.MessageReceived{}, event.PeerUp{}, event.RequestArrived{}, event.RequestCancelled{},
 	event.ShutdownRequested{}, event.Started{}, event.StatusRequested{}, event.StoreAnswered{}, event.StoreChanged{},
 	event.TaskQueried{}, event.TaskCancelled{}, event.TaskStartEnded{}, event.TaskSubmitted{}, event.Tick{},
