--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -26,7 +26,7 @@
 	Message message.Message
 }
 
-// CallStore makes a call to the store. StoreAnswered must follow within
+// CallStore makes a call to the store. StoreCallEnded must follow within
 // StoreTimeout.
 type CallStore struct {
 	Call uint64
--- a/internal/core/entry/driver_test.go
+++ b/internal/core/entry/driver_test.go
@@ -398,7 +398,7 @@
 	answer := func(res store.Result) {
 		if !answered {
 			answered = true
-			drv.feed(nod, event.StoreAnswered{Call: eff.Call, Result: res})
+			drv.feed(nod, event.StoreCallEnded{Call: eff.Call, Result: res})
 		}
 	}
 	drv.after(effect.StoreTimeout, func() { answer(store.Failed{Reason: "timeout"}) })
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -49,8 +49,8 @@
 		stp.peerDown(evt)
 	case event.MessageReceived:
 		stp.peerSaid(evt.Member, evt.Message)
-	case event.StoreAnswered:
-		stp.storeAnswered(evt)
+	case event.StoreCallEnded:
+		stp.storeCallEnded(evt)
 	case event.StoreChanged:
 		stp.readHead()
 	case event.VMsListed:
--- a/internal/core/entry/storecall.go
+++ b/internal/core/entry/storecall.go
@@ -158,7 +158,7 @@
 	}}})
 }
 
-func (stp *step) storeAnswered(evt event.StoreAnswered) {
+func (stp *step) storeCallEnded(evt event.StoreCallEnded) {
 	cal, ok := stp.st.store.calls.Get(evt.Call)
 	if !ok {
 		return
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -160,8 +160,8 @@
 	Message message.Message
 }
 
-// StoreAnswered is the result of a call to the store.
-type StoreAnswered struct {
+// StoreCallEnded is the result of a call to the store.
+type StoreCallEnded struct {
 	Call   uint64
 	Result store.Result
 }
@@ -211,7 +211,7 @@
 func (PeerUp) isEvent()            {}
 func (PeerDown) isEvent()          {}
 func (MessageReceived) isEvent()   {}
-func (StoreAnswered) isEvent()     {}
+func (StoreCallEnded) isEvent()    {}
 func (StoreChanged) isEvent()      {}
 func (VMsListed) isEvent()         {}
 func (ChangeRequested) isEvent()   {}
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -70,7 +70,7 @@
 func (rnr *Runner) callStore(eff effect.CallStore) {
 	ctx, cancel := context.WithTimeout(rnr.callsCtx, effect.StoreTimeout)
 	defer cancel()
-	rnr.Post(event.StoreAnswered{Call: eff.Call, Result: rnr.store.Call(ctx, eff.Op)})
+	rnr.Post(event.StoreCallEnded{Call: eff.Call, Result: rnr.store.Call(ctx, eff.Op)})
 }
 
 func (rnr *Runner) startAttempt(eff effect.StartAttempt) {
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -267,6 +267,7 @@
 var timerNames = map[reflect.Type]string{
 	reflect.TypeFor[event.MessageReceived]():   "peersaid",
 	reflect.TypeFor[event.VMsListed]():         "fleetlisted",
+	reflect.TypeFor[event.StoreCallEnded]():    "storeanswered",
 	reflect.TypeFor[event.TaskQueried]():       "taskasked",
 	reflect.TypeFor[event.ChangeRequested]():   "operatorasked",
 	reflect.TypeFor[event.StatusRequested]():   "statusasked",
--- a/internal/runner/timer_test.go
+++ b/internal/runner/timer_test.go
@@ -20,7 +20,7 @@
 var timedEvents = []event.Event{
 	event.AcceptingStopped{}, event.AttemptEnded{}, event.VMsListed{}, event.MembersGone{}, event.ChangeRequested{},
 	event.PeerDown{}, event.MessageReceived{}, event.PeerUp{}, event.RequestArrived{}, event.RequestCancelled{},
-	event.ShutdownRequested{}, event.Started{}, event.StatusRequested{}, event.StoreAnswered{}, event.StoreChanged{},
+	event.ShutdownRequested{}, event.Started{}, event.StatusRequested{}, event.StoreCallEnded{}, event.StoreChanged{},
 	event.TaskQueried{}, event.TaskCancelled{}, event.TaskStartEnded{}, event.TaskSubmitted{}, event.Tick{},
 	event.WorkerReported{},
 }
