--- a/internal/core/entry/request.go
+++ b/internal/core/entry/request.go
@@ -142,7 +142,7 @@
 	if !ok || wrk.Phase != work.PhaseRunning || wrk.Attempt != evt.Attempt {
 		return
 	}
-	if evt.Leaving {
+	if evt.UpstreamLeaving {
 		stp.seeLeaving(wrk.VM)
 	}
 	stp.release(wrk)
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -75,9 +75,10 @@
 	Result  AttemptResult
 	// Status is the HTTP status of the upstream's response, if there was one.
 	Status int
-	// Leaving reports whether the upstream announced its shutdown.
-	Leaving bool
-	Reason  string
+	// UpstreamLeaving reports whether the upstream announced that it shuts down
+	// gracefully.
+	UpstreamLeaving bool
+	Reason          string
 }
 
 // TaskSubmitted is a caller's request to accept a task.
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -97,7 +97,7 @@
 		}
 		rnr.Post(event.AttemptEnded{
 			Work: eff.Work, Attempt: eff.Attempt, Result: res.Kind,
-			Status: res.HTTPResponse.Status, Leaving: res.Leaving, Reason: res.Reason,
+			Status: res.HTTPResponse.Status, UpstreamLeaving: res.Leaving, Reason: res.Reason,
 		})
 	}()
 }
