--- a/pkg/table/allotment.go
+++ b/pkg/table/allotment.go
@@ -47,8 +47,9 @@
 }
 
 // applySettlements returns the allotments of the remaining voters after some
-// were removed. The permits of the removed voters go first to members in debt,
-// and the remainder is split evenly.
+// were removed. The permits of the removed voters go first to members that run
+// more work than their permits allow, as Settlement.Debts reports, and the
+// remainder is split evenly.
 func applySettlements(cfg *Config, settlements []Settlement) []Allotment {
 	nets, debts := map[teamMember]int{}, map[teamMember]int{}
 	for _, stl := range settlements {
--- a/pkg/table/change.go
+++ b/pkg/table/change.go
@@ -20,12 +20,12 @@
 	Tables Tables `json:"tables"`
 }
 
-// KeyGranted adds a key.
+// KeyGranted adds an API key.
 type KeyGranted struct {
 	Key Key `json:"key"`
 }
 
-// KeyWithdrawn revokes the key with the given name.
+// KeyWithdrawn revokes the API key with the given name.
 type KeyWithdrawn struct {
 	Name string `json:"name"`
 }
@@ -58,11 +58,11 @@
 // are about to be removed. It is final: the member has ended those transfers.
 type Settlement struct {
 	Member string `json:"member"`
-	// Net is the number of permits received from the departed members less
+	// Net is the number of permits received from the members to be removed less
 	// those sent to them, by team.
 	Net []TeamPermits `json:"net,omitempty"`
-	// Debts is the number of pieces of a team's work that the member runs
-	// beyond its permits, because it adopted running tasks.
+	// Debts lists, by team, how many pieces of work the member runs beyond its
+	// permits, because it adopted running tasks.
 	Debts []TeamPermits `json:"debts,omitempty"`
 }
 
--- a/pkg/table/config.go
+++ b/pkg/table/config.go
@@ -50,8 +50,9 @@
 	Pool string `json:"pool"`
 }
 
-// Voter is an entry that counts towards the majorities of the freshness rule
-// and of accepted changes.
+// Voter is an entry that counts towards majorities: of the entries that must
+// have received an accepted change, and of those that an entry must be in
+// contact with to start work while the store is unreachable.
 type Voter struct {
 	// ID is unique to one incarnation of one process.
 	ID      string `json:"id"`
@@ -62,8 +63,8 @@
 }
 
 // Allotment is the number of a team's permits that a member starts with, before
-// any transfer. It may be negative after a limit was lowered or a departed
-// member's transfers were settled; the member is then in debt.
+// any transfer. It may be negative after a limit was lowered or a removed
+// member's transfers were settled.
 type Allotment struct {
 	Team    string `json:"team"`
 	Member  string `json:"member"`
--- a/pkg/table/config_test.go
+++ b/pkg/table/config_test.go
@@ -82,10 +82,10 @@
 	if len(cfg.Voters) < 2 {
 		return cfg
 	}
-	gone := cfg.Voters[rapid.IntRange(0, len(cfg.Voters)-1).Draw(rt, "gone")].ID
-	chg := table.VotersRemoved{IDs: []string{gone}}
+	removed := cfg.Voters[rapid.IntRange(0, len(cfg.Voters)-1).Draw(rt, "gone")].ID
+	chg := table.VotersRemoved{IDs: []string{removed}}
 	for _, id := range cfg.VoterIDs() {
-		if id == gone {
+		if id == removed {
 			continue
 		}
 		stl := table.Settlement{Member: id}
--- a/pkg/table/diff.go
+++ b/pkg/table/diff.go
@@ -71,20 +71,20 @@
 	return dfs
 }
 
-// toJSON returns a part as JSON, in which spans have the same form as in the
+// toJSON returns an element as JSON, in which spans have the same form as in the
 // tables.
-func toJSON(part any) string {
-	data, err := json.Marshal(part)
+func toJSON(element any) string {
+	data, err := json.Marshal(element)
 	if err != nil {
-		return fmt.Sprint(part)
+		return fmt.Sprint(element)
 	}
 	return string(data)
 }
 
-func byName[T any](parts []T, name func(T) string) map[string]T {
-	named := make(map[string]T, len(parts))
-	for _, part := range parts {
-		named[name(part)] = part
+func byName[T any](elements []T, name func(T) string) map[string]T {
+	named := make(map[string]T, len(elements))
+	for _, element := range elements {
+		named[name(element)] = element
 	}
 	return named
 }
--- a/pkg/table/tables.go
+++ b/pkg/table/tables.go
@@ -28,7 +28,8 @@
 )
 
 // Tables is the content of the two tables that operators keep in version
-// control.
+// control: the table of routes holds Teams and Routes, and the table of pools
+// holds Pools and AZsOut.
 type Tables struct {
 	Teams  []Team  `json:"teams"`
 	Routes []Route `json:"routes"`
