--- a/internal/core/permit/ledger.go
+++ b/internal/core/permit/ledger.go
@@ -18,9 +18,10 @@
 	frozen []string
 }
 
-// account is sorted by member.
+// account holds the counters of one team, sorted by member.
 type account []counter
 
+// counter counts the permits of one team exchanged with one member.
 type counter struct {
 	member string
 	// sent and received are cumulative and never decrease.
@@ -40,12 +41,12 @@
 	if _, votes := cfg.Voter(led.self); !votes {
 		return 0
 	}
-	rights := int64(cfg.Allotment(team, led.self))
+	permits := int64(cfg.Allotment(team, led.self))
 	acc, _ := led.accounts.Get(team)
 	for _, ctr := range acc {
-		rights += ctr.received - ctr.sent
+		permits += ctr.received - ctr.sent
 	}
-	return int(rights)
+	return int(permits)
 }
 
 // IsFrozen reports whether transfers with a member have ended.
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -4,8 +4,9 @@
 
 // Bounds of the budget, in thousandths of a token. A retry costs one token.
 const (
-	// startMilliTokens is added by each first attempt.
-	startMilliTokens = 80
+	// refillMilliTokens is added by each first attempt. It limits sustained
+	// retries to 8% of the first attempts.
+	refillMilliTokens = 80
 	// retryMilliTokens is the cost of a retry.
 	retryMilliTokens = 1000
 	// maxMilliTokens bounds the burst of retries.
@@ -27,7 +28,7 @@
 
 // WithStart returns the budget after a first attempt.
 func (bud Budget) WithStart() Budget {
-	bud.milliTokens = min(maxMilliTokens, bud.milliTokens+startMilliTokens)
+	bud.milliTokens = min(maxMilliTokens, bud.milliTokens+refillMilliTokens)
 	return bud
 }
 
