--- a/internal/core/dispatch/decide.go
+++ b/internal/core/dispatch/decide.go
@@ -16,7 +16,7 @@
 }
 
 // An Input is the input of a decision: the pool, the VMs that may receive work,
-// and the configuration with the weight of each team.
+// and the configuration, in which a team's weight is its table.Team.Share.
 type Input struct {
 	Pool   table.Pool
 	Usable []vm.VM
--- a/internal/core/dispatch/recall.go
+++ b/internal/core/dispatch/recall.go
@@ -22,7 +22,8 @@
 // recall recalls slots for teams that have work waiting and run less relative
 // to their weight than others. Entries reuse a slot for their next work without
 // a request to the dispatcher, so without a recall the slot would not be
-// returned soon.
+// returned soon. While a slot outside the reserve is free it recalls nothing.
+// Slots that are being recalled already count as returned.
 func (dsp Dispatcher) recall(now time.Time, rnd *round) (next Dispatcher, rcs []Recall) {
 	if rnd.leastLoaded(nil) >= 0 && rnd.unreserved < rnd.unreservedLimit {
 		return dsp, nil
@@ -54,8 +55,9 @@
 	return dsp.withRecalls(now, holds)
 }
 
-// recallForUrgent recalls slots of each team's own less urgent work when its
-// urgent work waits.
+// recallForUrgent recalls slots outside the reserve from a team whose own urgent
+// work waits, because they may run less urgent work of the team. Reports do not
+// tell the urgency of running work.
 func (rnd *round) recallForUrgent(holds []holding) {
 	for _, lan := range rnd.lanes {
 		if lan.urgency != table.UrgencyUrgent {
@@ -86,13 +88,14 @@
 	return slots
 }
 
-// holding is the number of slots that a member uses for a team and could
-// return.
+// holding is the slots that a member uses for a team and could return.
 type holding struct {
-	member   string
-	team     string
-	reserve  bool
-	count    int
+	member  string
+	team    string
+	reserve bool
+	// count is the number of slots that are not being recalled yet.
+	count int
+	// recalled is the number of slots that the current decision recalls.
 	recalled int
 }
 
--- a/internal/core/dispatch/round.go
+++ b/internal/core/dispatch/round.go
@@ -26,6 +26,7 @@
 	totalWeight     int
 }
 
+// laneState is the work of one lane at one member that has no grant yet.
 type laneState struct {
 	member  string
 	team    string
@@ -37,6 +38,7 @@
 	avoid []string
 }
 
+// slotState counts the slots of one VM.
 type slotState struct {
 	vm   string
 	size int
--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -150,13 +150,13 @@
 // Exit ends the process. Nothing is pending.
 type Exit struct{}
 
-// Record adds an event to the timeline.
+// Record adds a record to the timeline, the log of what happened in the process.
 type Record struct {
-	// Part is the component of the entry that recorded the event.
+	// Part is the component of the entry that made the record.
 	Part string
-	// Name is the name of the event in snake case.
+	// Name says what happened, in snake case.
 	Name string
-	// Subject is the object of the event, such as a VM or a member.
+	// Subject is what the record concerns, such as a VM or a member.
 	Subject string
 	Detail  string
 }
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -40,11 +40,12 @@
 	Request uint64
 	// Path selects the route.
 	Path string
-	// KeyHash is empty when no key came with the request.
+	// KeyHash is the hash of the caller's API key, and empty when none came with
+	// the request.
 	KeyHash string
 	// Idempotent reports whether the HTTP method is idempotent.
 	Idempotent bool
-	// IdempotencyKey is the key that the caller sent, or empty.
+	// IdempotencyKey is the idempotency key that the caller sent, or empty.
 	IdempotencyKey string
 	BodyBytes      int64
 	// Timeout shortens the route's deadline when it is positive.
@@ -57,7 +58,7 @@
 // AttemptResult is the result of an attempt at an upstream.
 type AttemptResult int
 
-// The results of an attempt.
+// The results of an attempt, named like the outcomes of package outcome.
 const (
 	// AttemptAnswered means that the complete response was received.
 	AttemptAnswered AttemptResult = iota + 1
@@ -161,14 +162,13 @@
 	Message message.Message
 }
 
-// StoreCallEnded is the result of a call to the store.
+// StoreCallEnded reports the result of a CallStore effect.
 type StoreCallEnded struct {
 	Call   uint64
 	Result store.Result
 }
 
-// StoreChanged is a watch notification that the head of the configuration
-// changed.
+// StoreChanged is a watch notification that store.KeyConfigHead changed.
 type StoreChanged struct{}
 
 // VMsListed is the platform's list of VMs, which lags behind their actual
@@ -184,7 +184,8 @@
 	Base int64
 }
 
-// MembersGone is an operator's confirmation that members have terminated.
+// MembersGone is an operator's confirmation that members are gone: their
+// processes have terminated, as package member explains.
 type MembersGone struct{ IDs []string }
 
 // StatusRequested is an operator's query for the entry's status.
--- a/internal/core/idempotency/registry.go
+++ b/internal/core/idempotency/registry.go
@@ -28,7 +28,8 @@
 	keys *immutable.Map[string, reservation]
 }
 
-// reservation is the first use of a key.
+// reservation records which entry first reserved a key, by which request and
+// when.
 type reservation struct {
 	owner     string
 	requestID uint64
@@ -43,9 +44,9 @@
 // Len returns the number of recorded keys.
 func (reg Registry) Len() int { return reg.keys.Len() }
 
-// WithReservation returns the registry after an entry requested a key, and
-// whether the key is new. Repeating a request with the same ID returns the same
-// result.
+// WithReservation returns the registry after an entry requested a reservation of
+// a key, and whether the key is new. Repeating the request with the same owner
+// and ID returns the same result.
 func (reg Registry) WithReservation(now time.Time, hash, owner string, requestID uint64) (next Registry, fresh bool) {
 	old, seen := reg.keys.Get(hash)
 	fresh = !seen || now.Sub(old.at) > KeyRetention || (old.owner == owner && old.requestID == requestID)
--- a/internal/core/member/view.go
+++ b/internal/core/member/view.go
@@ -45,8 +45,8 @@
 	self string
 	// peers is sorted by ID and excludes the entry itself.
 	peers []Peer
-	// storeContactAt is the send time of the latest read of the configuration's
-	// head that the store answered.
+	// storeContactAt is the send time of the latest read of store.KeyConfigHead
+	// that the store answered.
 	storeContactAt time.Time
 	leaving        bool
 	// gone is sorted and lists members that are guaranteed to have terminated:
@@ -113,8 +113,8 @@
 }
 
 // WithGone returns the view after members were confirmed to have terminated.
-// Such members send no messages, so no majority needs them: every entry that
-// still starts work is in contact with a majority of the same smaller set.
+// They send no messages, so majorities are counted without them: every entry
+// that still starts work is in contact with a majority of the same smaller set.
 func (vie View) WithGone(ids []string) View {
 	gone := append(slices.Clone(vie.gone), ids...)
 	slices.Sort(gone)
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -51,6 +51,7 @@
 // SnapshotRequest requests the whole configuration. A peer sends it when its
 // own is older than the retained changes.
 type SnapshotRequest struct {
+	// Have is the revision of the sender's configuration.
 	Have int64 `json:"have"`
 }
 
@@ -71,7 +72,8 @@
 	Suspects []string `json:"suspects,omitempty"`
 }
 
-// LaneDemand is the work of a lane that is ready to start.
+// LaneDemand is the work of a lane, as work.Lane defines it, that is ready to
+// start.
 type LaneDemand struct {
 	Team    string        `json:"t"`
 	Urgency table.Urgency `json:"u"`
@@ -178,7 +180,7 @@
 // request runs.
 type ReserveKey struct {
 	RequestID uint64 `json:"ask"`
-	// Hash covers the team and the caller's idempotency key.
+	// Hash is a hash of the team and the caller's idempotency key.
 	Hash string `json:"hash"`
 }
 
--- a/internal/core/queue/rate.go
+++ b/internal/core/queue/rate.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// rateWindow is the time constant of the decaying average.
+// rateWindow is the time constant of the decay.
 const rateWindow = time.Second
 
 // minStarts is the decayed number of starts below which no wait is estimated.
 const minStarts = 3
 
-// Rate is an exponentially decaying average of the work started within
-// rateWindow. It is immutable.
+// Rate estimates how many pieces of work start per rateWindow by a count of
+// starts that decays exponentially. It is immutable.
 type Rate struct {
-	// starts is the decayed number of starts at time at.
+	// starts is the decayed number of starts as of the time at.
 	starts float64
 	at     time.Time
 }
@@ -25,8 +25,7 @@
 }
 
 // EstimateWait returns how long work with the given number of pieces ahead of
-// it will wait, and whether enough work started within rateWindow for an
-// estimate.
+// it will wait, and whether enough work started recently for an estimate.
 func (rat Rate) EstimateWait(now time.Time, ahead int) (span time.Duration, known bool) {
 	starts := rat.decayed(now)
 	if starts < minStarts {
--- a/internal/core/share/share.go
+++ b/internal/core/share/share.go
@@ -34,11 +34,11 @@
 	return best
 }
 
-// less compares how far each team is below its share, measured at half a slot
-// more than it runs (the Webster/Sainte-Laguë method). It cross-multiplies to
-// stay exact. Measuring at a whole slot more favours heavy teams: the result
-// was up to 1.6 slots off the fractional shares, compared with up to 1 for this
-// method.
+// less reports whether team a receives a free slot before team b, because it
+// runs less relative to its weight. It counts half a slot more than each team
+// runs (the Webster/Sainte-Laguë method) and cross-multiplies to stay exact.
+// Counting a whole slot more favours heavy teams: the result was up to 1.6 slots
+// off the fractional shares, compared with up to 1 for this method.
 func less(a, b Team) bool {
 	left := (2*a.Running + 1) * b.Weight
 	right := (2*b.Running + 1) * a.Weight
--- a/internal/core/store/store.go
+++ b/internal/core/store/store.go
@@ -12,9 +12,15 @@
 
 // Keys and prefixes, relative to the deployment's prefix.
 const (
-	KeyConfigHead  = "config/head"
-	KeyConfig      = "config/doc"
-	PrefixMembers  = "members/"
+	// KeyConfigHead holds the revision of the configuration. It is written
+	// together with KeyConfig, so that entries can check or watch the small head
+	// and read the configuration only when it has changed.
+	KeyConfigHead = "config/head"
+	// KeyConfig holds the whole configuration.
+	KeyConfig = "config/doc"
+	// PrefixMembers precedes the keys that the members hold under their leases.
+	PrefixMembers = "members/"
+	// PrefixFences precedes the keys that name the owner of each task log.
 	PrefixFences   = "fences/"
 	prefixTaskLogs = "tasks/"
 )
--- a/internal/core/task/doc.go
+++ b/internal/core/task/doc.go
@@ -3,6 +3,7 @@
 // the attempt.
 //
 // An entry appends batches of records to a log of segments in the store and
-// owns its log through a fence key. An entry that adopts the log of a departed
-// one replaces the fence first, so that a late write of the former owner fails.
+// owns its log through a fence key. An entry that adopts the log of a member
+// without a lease replaces the fence first, so that a late write of the former
+// owner fails.
 package task
--- a/internal/core/task/record.go
+++ b/internal/core/task/record.go
@@ -36,7 +36,7 @@
 	Attempt int `json:"attempt,omitempty"`
 	// VM is the VM of the last recorded attempt.
 	VM string `json:"vm,omitempty"`
-	// Tried lists the VMs on which the task failed.
+	// Tried lists the VMs of earlier attempts.
 	Tried    []string  `json:"tried,omitempty"`
 	Result   []byte    `json:"result,omitempty"`
 	Reason   string    `json:"reason,omitempty"`
--- a/internal/core/work/work.go
+++ b/internal/core/work/work.go
@@ -17,11 +17,13 @@
 // Phase is the stage of processing that a piece of work has reached.
 type Phase int
 
-// The phases, in order.
+// The phases. A retry returns to PhaseWaiting.
 const (
 	// PhaseWaiting work is queued for a grant from its pool's dispatcher.
 	PhaseWaiting Phase = iota
-	// PhaseRecording work waits for the record of its attempt to be stored.
+	// PhaseRecording work waits for the store to hold the record of a task's
+	// attempt, or, before its first PhaseWaiting, for the reservation of a
+	// request's idempotency key.
 	PhaseRecording
 	// PhaseRunning work has been sent to a VM.
 	PhaseRunning
@@ -35,7 +37,8 @@
 	Kind table.Kind
 	// TaskID is the fleet-wide ID of a task, and empty for a request.
 	TaskID string
-	// KeyHash is empty on a route that is open to callers without a key.
+	// KeyHash is the hash of the API key of a request's caller. It is empty for
+	// a request without a key, which an open route accepts, and for a task.
 	KeyHash string
 	Team    string
 	Route   string
@@ -65,7 +68,7 @@
 	MayHaveRun bool
 	// NotBefore is the earliest time of a retry.
 	NotBefore time.Time
-	// Cancelled reports whether the work was cancelled.
+	// Cancelled reports whether the caller no longer wants the work.
 	Cancelled bool
 	// Payload is the payload of a task. The bodies of requests stay outside the
 	// core.
