--- a/internal/core/dispatch/recall.go
+++ b/internal/core/dispatch/recall.go
@@ -198,6 +198,9 @@
 	return to, from
 }
 
+// withRecalls returns the dispatcher after recalling the slots that holds marks
+// as recalled, and the recalls for the members. A new recall of a team's slots
+// includes those of the team that are already being recalled.
 func (dsp Dispatcher) withRecalls(now time.Time, holds []holding) (next Dispatcher, rcs []Recall) {
 	itr := dsp.reports.Iterator()
 	for !itr.Done() {
--- a/internal/core/dispatch/round.go
+++ b/internal/core/dispatch/round.go
@@ -254,12 +254,14 @@
 	return rnd.teamsWaiting(rnd.mayStart)
 }
 
-func (rnd *round) teamsWaiting(counts func(laneState) bool) []share.Team {
+// teamsWaiting returns the teams with only the work of matching lanes as
+// waiting.
+func (rnd *round) teamsWaiting(matches func(laneState) bool) []share.Team {
 	teams := slices.Clone(rnd.teams)
 	for i := range teams {
 		teams[i].Waiting = 0
 		for _, lan := range rnd.lanes {
-			if lan.team == teams[i].Name && counts(lan) {
+			if lan.team == teams[i].Name && matches(lan) {
 				teams[i].Waiting += lan.waiting
 			}
 		}
@@ -267,6 +269,8 @@
 	return teams
 }
 
+// mayStart reports whether work of a lane may use one more slot. Once the slots
+// outside the reserve are in use, only urgent work may.
 func (rnd *round) mayStart(lan laneState) bool {
 	return lan.urgency == table.UrgencyUrgent || rnd.unreserved < rnd.unreservedLimit
 }
--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -44,8 +44,8 @@
 	Attempt int
 	VM      string
 	Address string
-	// Repeatable requests may be sent on an idle connection; others need a new
-	// one.
+	// Repeatable requests may be sent on a pooled connection, which can be dead
+	// without being closed; others need a new one.
 	Repeatable bool
 	Deadline   time.Time
 }
--- a/internal/core/effect/status.go
+++ b/internal/core/effect/status.go
@@ -2,16 +2,18 @@
 
 // Status is the state that an entry reports to operators.
 type Status struct {
-	ID       string         `json:"id"`
-	AZ       string         `json:"az"`
-	Revision int64          `json:"revision"`
-	Fresh    bool           `json:"fresh"`
-	Voting   bool           `json:"voting"`
-	Leaving  bool           `json:"leaving"`
-	AZsOut   []string       `json:"azs_out"`
-	Members  []MemberStatus `json:"members"`
-	Pools    []PoolStatus   `json:"pools"`
-	Teams    []TeamStatus   `json:"teams"`
+	ID       string `json:"id"`
+	AZ       string `json:"az"`
+	Revision int64  `json:"revision"`
+	// Fresh reports whether the freshness rule of package member lets the entry
+	// start work.
+	Fresh   bool           `json:"fresh"`
+	Voting  bool           `json:"voting"`
+	Leaving bool           `json:"leaving"`
+	AZsOut  []string       `json:"azs_out"`
+	Members []MemberStatus `json:"members"`
+	Pools   []PoolStatus   `json:"pools"`
+	Teams   []TeamStatus   `json:"teams"`
 	// PendingRecords counts the task records that are not in the store yet.
 	PendingRecords int `json:"pending_records"`
 	Tasks          int `json:"tasks"`
--- a/internal/core/queue/queue.go
+++ b/internal/core/queue/queue.go
@@ -18,9 +18,10 @@
 	size int
 }
 
-// lane is ordered by arrival time.
+// lane is the set of the positions in one lane, ordered by arrival time.
 type lane = *immutable.SortedMap[position, struct{}]
 
+// position identifies a piece of work and orders it within its lane.
 type position struct {
 	arrived time.Time
 	id      work.ID
@@ -96,15 +97,15 @@
 // Backlog returns the backlog of each lane, the most urgent first, then by
 // team.
 func (que Queue) Backlog() []LaneBacklog {
-	counts := make([]LaneBacklog, 0, que.lanes.Len())
+	backlog := make([]LaneBacklog, 0, que.lanes.Len())
 	itr := que.lanes.Iterator()
 	for !itr.Done() {
 		lan, positions, _ := itr.Next()
 		first := positions.Iterator()
 		oldest, _, _ := first.Next()
-		counts = append(counts, LaneBacklog{Lane: lan, Waiting: positions.Len(), Oldest: oldest.arrived})
+		backlog = append(backlog, LaneBacklog{Lane: lan, Waiting: positions.Len(), Oldest: oldest.arrived})
 	}
-	return counts
+	return backlog
 }
 
 // Oldest returns the IDs of up to limit pieces of work of a lane, the oldest
