--- a/internal/soak/callers.go
+++ b/internal/soak/callers.go
@@ -16,23 +16,23 @@
 	"github.com/balsamgauge/balsamgauge/internal/standin/site"
 )
 
-// Times of callers.
+// Timeouts and intervals of callers.
 const (
-	// callTimeout is how long a caller waits.
+	// callTimeout is the time that a caller waits for a reply.
 	callTimeout = 3 * time.Second
-	// patience is for how long a caller tries to submit a job.
-	patience  = 12 * time.Second
-	retryTime = 150 * time.Millisecond
-	askEvery  = 400 * time.Millisecond
-	// lossSlack is how soon after it was sent a request may be cut by a process
-	// that shuts down, since the process had not read it.
-	lossSlack = 200 * time.Millisecond
+	// submitTimeout is the time for which a caller retries the submission of a job.
+	submitTimeout = 12 * time.Second
+	retryInterval = 150 * time.Millisecond
+	pollInterval  = 400 * time.Millisecond
+	// unreadWindow is the time after sending within which a process that shuts
+	// down may cut a request, because it may not have read it yet.
+	unreadWindow = 200 * time.Millisecond
 )
 
 // accounts are the client accounts; the first has a cap.
 var accounts = []string{"small", "large"}
 
-// caller submits jobs and asks for them until it is told to stop.
+// caller submits jobs and polls their states until it is stopped.
 type caller struct {
 	run    *Run
 	number int
@@ -48,22 +48,23 @@
 	}
 }
 
-// work submits a job after the other until the context is done, and asks for
-// each until it has ended or all is over.
-func (cal *caller) work(ctx, over context.Context) {
-	var asking sync.WaitGroup
+// work submits one job after another until ctx is done, and polls each until it
+// has ended or settleCtx is done.
+func (cal *caller) work(ctx, settleCtx context.Context) {
+	var followers sync.WaitGroup
 	for ctx.Err() == nil {
 		job := cal.newJob()
 		seed := cal.rng.Uint64()
 		if cal.submit(ctx, job) {
-			asking.Go(func() { cal.follow(ctx, over, job, rand.New(rand.NewPCG(seed, 1))) })
+			followers.Go(func() { cal.pollJob(ctx, settleCtx, job, rand.New(rand.NewPCG(seed, 1))) })
 		}
 		clock.Pause(ctx, time.Duration(cal.rng.Int64N(int64(600*time.Millisecond))))
 	}
-	asking.Wait()
+	followers.Wait()
 }
 
-// newJob draws a job of up to three steps; some last.
+// newJob returns a random job: one in 20 has lasting tasks, the others have up to
+// three steps.
 func (cal *caller) newJob() ledger.Job {
 	cal.sent++
 	job := ledger.Job{
@@ -84,21 +85,23 @@
 	return job
 }
 
-// taskTime is what callers estimate for a task.
-const taskTime = 300 * time.Millisecond
+// taskEstimate is the duration that callers estimate for a task.
+const taskEstimate = 300 * time.Millisecond
 
-func body(job ledger.Job) string {
+// jobBody returns the request body that submits a job.
+func jobBody(job ledger.Job) string {
 	steps := make([]site.Step, len(job.Steps))
 	for i, ste := range job.Steps {
-		steps[i] = site.Step{Count: ste.Count, CPU: ste.CPU, Estimate: taskTime, After: ste.After, Lasting: ste.Lasting}
+		steps[i] = site.Step{Count: ste.Count, CPU: ste.CPU, Estimate: taskEstimate, After: ste.After, Lasting: ste.Lasting}
 	}
 	return site.JobBody(job.Payload, steps)
 }
 
-// submit sends a job to one process after the other until it is accepted.
+// submit sends a job to random processes until one accepts it. It reports whether
+// one did before submitTimeout.
 func (cal *caller) submit(ctx context.Context, job ledger.Job) bool {
-	text := body(job)
-	for end := time.Now().Add(patience); time.Now().Before(end) && ctx.Err() == nil; {
+	text := jobBody(job)
+	for end := time.Now().Add(submitTimeout); time.Now().Before(end) && ctx.Err() == nil; {
 		key := cal.run.key(job.Account)
 		cal.run.ledger.Send(job)
 		sent := time.Now()
@@ -111,28 +114,28 @@
 			out = ledger.Refused
 		case 0, http.StatusGatewayTimeout, http.StatusBadGateway:
 		default:
-			cal.run.ledger.Fail(time.Now(), fmt.Sprintf("job %s is answered with status %d", job.ID, status))
+			cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("submission of job %s was answered with status %d", job.ID, status))
 		}
 		cal.run.ledger.Answer(time.Now(), sent, job.ID, key, out)
 		if out == ledger.Accepted {
 			return true
 		}
-		clock.Pause(ctx, retryTime)
+		clock.Pause(ctx, retryInterval)
 	}
 	return false
 }
 
-// follow asks for a job until it has ended. Some jobs are cancelled on the way;
-// those that last are cancelled at the end.
-func (cal *caller) follow(ctx, over context.Context, job ledger.Job, rng *rand.Rand) {
+// pollJob requests the state of a job until it has ended. One job in 8 is
+// cancelled after a few polls, lasting jobs when submission ends.
+func (cal *caller) pollJob(ctx, settleCtx context.Context, job ledger.Job, rng *rand.Rand) {
 	cancelAfter := -1
 	if rng.IntN(8) == 0 {
 		cancelAfter = rng.IntN(4)
 	}
-	for asked := 0; over.Err() == nil; asked++ {
-		clock.Pause(over, askEvery)
-		lasting := job.Steps[0].Lasting && ctx.Err() != nil
-		if (asked == cancelAfter || lasting) && cal.cancel(over, rng, job) {
+	for polls := 0; settleCtx.Err() == nil; polls++ {
+		clock.Pause(settleCtx, pollInterval)
+		endLasting := job.Steps[0].Lasting && ctx.Err() != nil
+		if (polls == cancelAfter || endLasting) && cal.cancel(settleCtx, rng, job) {
 			return
 		}
 		status, text := cal.call(rng, http.MethodGet, job, cal.run.key(job.Account), "")
@@ -145,40 +148,42 @@
 				State string `json:"state"`
 			}
 			if err := json.Unmarshal([]byte(text), &ans); err != nil {
-				cal.run.ledger.Fail(time.Now(), fmt.Sprintf("state of job %s: %q: %v", job.ID, text, err))
+				cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("state of job %s: %q: %v", job.ID, text, err))
 			}
 			state = ans.State
 		default:
 			continue
 		}
-		cal.run.ledger.Told(time.Now(), job.ID, state)
+		cal.run.ledger.StateReported(time.Now(), job.ID, state)
 		if state == "completed" || state == "failed" || state == "cancelled" || state == "gone" {
 			return
 		}
 	}
 }
 
-// cancel cancels a job; it reports whether that was acknowledged.
-func (cal *caller) cancel(over context.Context, rng *rand.Rand, job ledger.Job) bool {
-	for over.Err() == nil {
+// cancel cancels a job. It reports whether the cancellation was acknowledged or
+// the job does not exist.
+func (cal *caller) cancel(settleCtx context.Context, rng *rand.Rand, job ledger.Job) bool {
+	for settleCtx.Err() == nil {
 		status, text := cal.call(rng, http.MethodDelete, job, cal.run.key(job.Account), "")
 		switch {
 		case status == http.StatusOK && strings.Contains(text, `"cancelled"`):
 			cal.run.ledger.Cancelled(time.Now(), job.ID)
 			return true
 		case status == http.StatusOK:
-			// It had ended before.
+			// The job had already ended.
 			return false
 		case status == http.StatusGone:
-			cal.run.ledger.Told(time.Now(), job.ID, "gone")
+			cal.run.ledger.StateReported(time.Now(), job.ID, "gone")
 			return true
 		}
-		clock.Pause(over, retryTime)
+		clock.Pause(settleCtx, retryInterval)
 	}
 	return false
 }
 
-// call makes a call to some process; status 0 means that no answer came.
+// call sends a request to a random process. It returns status 0 if no reply was
+// received.
 func (cal *caller) call(rng *rand.Rand, method string, job ledger.Job, key, text string) (status int, answer string) {
 	nod := cal.run.nodes[rng.IntN(len(cal.run.nodes))]
 	req, err := http.NewRequest(method, "http://"+nod.callers+queuePrefix+job.ID, strings.NewReader(text))
@@ -198,9 +203,9 @@
 		}
 		err = readErr
 	}
-	// A process that shuts down answers what it has read.
-	if took := time.Since(sent); took > lossSlack && took < callTimeout-lossSlack && !nod.harmedAt(sent) && !nod.harmedAt(time.Now()) {
-		cal.run.ledger.Fail(time.Now(), fmt.Sprintf("%s of job %s is cut by %s after %v: %v", method, job.ID, nod.name, took, err))
+	// A process that shuts down answers every request that it has read.
+	if took := time.Since(sent); took > unreadWindow && took < callTimeout-unreadWindow && !nod.disruptedAt(sent) && !nod.disruptedAt(time.Now()) {
+		cal.run.ledger.AddViolation(time.Now(), fmt.Sprintf("%s of job %s was cut by %s after %v: %v", method, job.ID, nod.name, took, err))
 	}
 	return 0, ""
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -16,14 +16,16 @@
 	"github.com/balsamgauge/balsamgauge/platform"
 )
 
-// graceTime is the platform's time from SIGTERM to SIGKILL.
-const graceTime = 6 * time.Second
+// gracePeriod is the time between SIGTERM and SIGKILL on the platform.
+const gracePeriod = 6 * time.Second
 
-// node is one process of the program, with the way to its store.
+// node is one process of the program, with the proxy to its store.
 type node struct {
-	name    string
-	binary  string
-	dir     string
+	name   string
+	binary string
+	dir    string
+	// callers and ready are the listen addresses for callers and for readiness
+	// checks.
 	callers string
 	ready   string
 	store   *proxy.Proxy
@@ -32,14 +34,16 @@
 	cmd *exec.Cmd
 	// done is closed when the process has ended.
 	done chan struct{}
-	// paused says that it is stopped by a signal; harmed is until when its
-	// callers may see connections end.
-	paused bool
-	harmed time.Time
+	// down is set while the process is paused, or stopped for a restart.
+	down bool
+	// disruptedUntil is the time until which connections of callers to the
+	// process may end without a reply.
+	disruptedUntil time.Time
+	// starts counts the starts of the process and numbers its log files.
 	starts int
 }
 
-// newNode writes the settings of a process.
+// newNode opens the proxy to the store and writes the settings file of a process.
 func newNode(name, binary, dir, store, machines string) (nod *node, err error) {
 	defer func() {
 		if err != nil {
@@ -59,24 +63,24 @@
 	nod.callers, nod.ready = fmt.Sprintf("127.0.0.1:%d", ports[0]), fmt.Sprintf("127.0.0.1:%d", ports[1])
 	text := site.Process{
 		Name: name, Callers: nod.callers, Ready: nod.ready, Port: ports[2], Store: nod.store.Address(), Machines: machines,
-		Grace: graceTime, Revoke: ledger.PlatformBounds.Revoke,
+		Grace: gracePeriod, Revoke: ledger.PlatformBounds.Revoke,
 	}.Settings()
-	return nod, os.WriteFile(nod.settings(), []byte(text), 0o600)
+	return nod, os.WriteFile(nod.settingsPath(), []byte(text), 0o600)
 }
 
-func (nod *node) settings() string { return filepath.Join(nod.dir, nod.name+".toml") }
+func (nod *node) settingsPath() string { return filepath.Join(nod.dir, nod.name+".toml") }
 
-// start starts the process; its lines go to a file of their own.
+// start starts the process. Each start writes to a log file of its own.
 func (nod *node) start() (err error) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
 	nod.starts++
-	out, err := os.Create(nod.logPath())
+	out, err := os.Create(nod.outputPath())
 	if err != nil {
 		return err
 	}
 	cmd := exec.Command(nod.binary, "manage")
-	cmd.Env = []string{platform.SettingsVariable + "=" + nod.settings(), "PATH=" + os.Getenv("PATH"), "HOME=" + nod.dir}
+	cmd.Env = []string{platform.SettingsVariable + "=" + nod.settingsPath(), "PATH=" + os.Getenv("PATH"), "HOME=" + nod.dir}
 	cmd.Stdout, cmd.Stderr = out, out
 	if err := cmd.Start(); err != nil {
 		return errors.Join(fmt.Errorf("start process %s: %w", nod.name, err), out.Close())
@@ -84,7 +88,7 @@
 	done := make(chan struct{})
 	nod.cmd, nod.done = cmd, done
 	go func() {
-		// How it ended is read from the state of the process.
+		// The callers of signal read the exit status from the process state.
 		_ = cmd.Wait()
 		_ = out.Close()
 		close(done)
@@ -92,72 +96,76 @@
 	return nil
 }
 
-// signal sends a signal to the process and returns its end.
+// signal sends a signal to the process. It returns the command and a channel that
+// is closed when the process has ended.
 func (nod *node) signal(sig syscall.Signal) (cmd *exec.Cmd, done <-chan struct{}) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	// A process that has ended meanwhile is found by its end.
+	// If the process has already ended, done is closed.
 	_ = nod.cmd.Process.Signal(sig)
 	return nod.cmd, nod.done
 }
 
-// harm notes until when callers of the process may see connections end.
-func (nod *node) harm(until time.Time) {
+// markDisrupted extends the time until which connections of callers may end
+// without a reply.
+func (nod *node) markDisrupted(until time.Time) {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	if until.After(nod.harmed) {
-		nod.harmed = until
+	if until.After(nod.disruptedUntil) {
+		nod.disruptedUntil = until
 	}
 }
 
-// harmedAt reports whether callers may see connections end at a time.
-func (nod *node) harmedAt(now time.Time) bool {
+// disruptedAt reports whether connections of callers may end without a reply at a
+// given time.
+func (nod *node) disruptedAt(now time.Time) bool {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	return now.Before(nod.harmed)
+	return now.Before(nod.disruptedUntil)
 }
 
-// setPaused notes that the process is paused, and reports whether that changed.
-func (nod *node) setPaused(paused bool) bool {
+// setDown sets whether the process is down, and reports whether that changed.
+func (nod *node) setDown(down bool) bool {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	changed := nod.paused != paused
-	nod.paused = paused
+	changed := nod.down != down
+	nod.down = down
 	return changed
 }
 
-// terminate ends the process gracefully. It returns what was wrong with that.
-func (nod *node) terminate() (wrong string) {
+// terminate shuts the process down gracefully. It returns the violation if the
+// process exceeds the grace period or its exit status is not 0.
+func (nod *node) terminate() (violation string) {
 	cmd, done := nod.signal(syscall.SIGTERM)
 	select {
 	case <-done:
-	case <-time.After(graceTime):
+	case <-time.After(gracePeriod):
 		nod.signal(syscall.SIGKILL)
 		<-done
-		return fmt.Sprintf("process %s has not ended %v after SIGTERM", nod.name, graceTime)
+		return fmt.Sprintf("process %s has not ended %v after SIGTERM", nod.name, gracePeriod)
 	}
-	if cmd.ProcessState.Success() || nod.unborn() && cmd.ProcessState.ExitCode() < 0 {
+	if cmd.ProcessState.Success() || nod.outputEmpty() && cmd.ProcessState.ExitCode() < 0 {
 		return ""
 	}
 	return fmt.Sprintf("process %s ended with %v after SIGTERM", nod.name, cmd.ProcessState)
 }
 
-// unborn reports whether the process has not written a line. The signal may come
-// before a program that has just been started can handle signals; it has read
-// nothing then.
-func (nod *node) unborn() bool {
+// outputEmpty reports whether the process has not written a line yet. SIGTERM may
+// reach a process that was just started before it can handle signals; it has not
+// read a request then, and ending by the signal is no violation.
+func (nod *node) outputEmpty() bool {
 	nod.mu.Lock()
 	defer nod.mu.Unlock()
-	inf, err := os.Stat(nod.logPath())
+	inf, err := os.Stat(nod.outputPath())
 	return err == nil && inf.Size() == 0
 }
 
-// logPath is where the present process writes.
-func (nod *node) logPath() string {
+// outputPath returns the path of the log file of the current process.
+func (nod *node) outputPath() string {
 	return filepath.Join(nod.dir, fmt.Sprintf("%s.%d.log", nod.name, nod.starts))
 }
 
-// kill ends the process at once.
+// kill sends SIGKILL and waits for the end of the process.
 func (nod *node) kill() {
 	_, done := nod.signal(syscall.SIGKILL)
 	<-done
--- a/internal/soak/process_test.go
+++ b/internal/soak/process_test.go
@@ -10,7 +10,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// startScript starts a program in place of balsamgauge.
+// startScript starts a shell script in place of the program.
 func startScript(t *testing.T, script string) *node {
 	dir := t.TempDir()
 	binary := filepath.Join(dir, "program")
@@ -20,8 +20,8 @@
 	return nod
 }
 
-// TestTerminate tells ends at SIGTERM apart: handled, not handled, and before the
-// program could handle anything.
+// TestTerminate checks that an exit status other than 0 and an unhandled SIGTERM
+// are violations, unless the signal arrived before the process wrote a line.
 func TestTerminate(t *testing.T) {
 	for _, tst := range []struct{ name, script, want string }{
 		{"handled", "trap 'exit 0' TERM; echo started; while :; do sleep 0.01; done", ""},
@@ -31,15 +31,15 @@
 	} {
 		t.Run(tst.name, func(t *testing.T) {
 			nod := startScript(t, tst.script)
-			for end := time.Now().Add(5 * time.Second); strings.Contains(tst.script, "started") && nod.unborn() && time.Now().Before(end); {
+			for end := time.Now().Add(5 * time.Second); strings.Contains(tst.script, "started") && nod.outputEmpty() && time.Now().Before(end); {
 				time.Sleep(5 * time.Millisecond)
 			}
-			wrong := nod.terminate()
+			violation := nod.terminate()
 			if tst.want == "" {
-				assert.Equal(t, wrong, "")
+				assert.Equal(t, violation, "")
 				return
 			}
-			assert.Assert(t, strings.Contains(wrong, tst.want), "%q", wrong)
+			assert.Assert(t, strings.Contains(violation, tst.want), "%q", violation)
 		})
 	}
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -9,31 +9,32 @@
 // Kind is a kind of fault.
 type Kind string
 
-// The kinds. Those of nodes concern one process of ours, those of links one
-// process's connections to the store, those of VMs one VM or the way to it.
+// Kinds of faults. Node faults affect one process of the program, link faults the
+// connections of one process to the store, VM faults one VM or the connections to
+// it.
 const (
-	NodeKill     Kind = "node_kill"
-	NodeTerm     Kind = "node_term"
-	NodePause    Kind = "node_pause"
-	NodeReload   Kind = "node_reload"
-	LinkReset    Kind = "link_reset"
-	LinkSilence  Kind = "link_silence"
-	LinkCutUp    Kind = "link_cut_up"
-	LinkCutDown  Kind = "link_cut_down"
-	LinkDelay    Kind = "link_delay"
-	VMReset      Kind = "vm_reset"
-	VMSilence    Kind = "vm_silence"
-	VMCut        Kind = "vm_cut"
-	VMCrash      Kind = "vm_crash"
-	StoreDown    Kind = "store_down"
-	StoreLost    Kind = "store_lost"
-	StoreCompact Kind = "store_compact"
-	KeyChange    Kind = "key_change"
-	ZoneOut      Kind = "zone_out"
-	WaveAsked    Kind = "wave_asked"
+	NodeKill       Kind = "node_kill"
+	NodeTerm       Kind = "node_term"
+	NodePause      Kind = "node_pause"
+	NodeReload     Kind = "node_reload"
+	LinkReset      Kind = "link_reset"
+	LinkSilence    Kind = "link_silence"
+	LinkCutUp      Kind = "link_cut_up"
+	LinkCutDown    Kind = "link_cut_down"
+	LinkDelay      Kind = "link_delay"
+	VMReset        Kind = "vm_reset"
+	VMSilence      Kind = "vm_silence"
+	VMCut          Kind = "vm_cut"
+	VMCrash        Kind = "vm_crash"
+	StoreDown      Kind = "store_down"
+	StoreReplyLost Kind = "store_lost"
+	StoreCompact   Kind = "store_compact"
+	KeyChange      Kind = "key_change"
+	ZoneOut        Kind = "zone_out"
+	WaveRequested  Kind = "wave_asked"
 )
 
-// weights are how often each kind comes, relative to the others.
+// weights holds the relative frequency of each kind.
 var weights = []struct {
 	kind   Kind
 	weight int
@@ -41,37 +42,39 @@
 	{NodeKill, 3}, {NodeTerm, 4}, {NodePause, 3}, {NodeReload, 1},
 	{LinkReset, 2}, {LinkSilence, 2}, {LinkCutUp, 2}, {LinkCutDown, 2}, {LinkDelay, 2},
 	{VMReset, 2}, {VMSilence, 2}, {VMCut, 2}, {VMCrash, 2},
-	{StoreDown, 1}, {StoreLost, 2}, {StoreCompact, 2},
-	{KeyChange, 2}, {ZoneOut, 1}, {WaveAsked, 1},
+	{StoreDown, 1}, {StoreReplyLost, 2}, {StoreCompact, 2},
+	{KeyChange, 2}, {ZoneOut, 1}, {WaveRequested, 1},
 }
 
 // Fault is one fault of a schedule.
 type Fault struct {
+	// At is the time since the start of the schedule.
 	At   time.Duration
 	Kind Kind
-	// Target is the number of the process, VM or availability zone.
+	// Target is the index of the process, VM or availability zone.
 	Target int
-	// For is how long it lasts, where it lasts.
+	// For is the duration of a fault that is reverted.
 	For time.Duration
 }
 
-// String writes the fault for a report.
+// String formats the fault for a report.
 func (fau Fault) String() string {
 	return fmt.Sprintf("%6d ms %s %d for %d ms", fau.At.Milliseconds(), fau.Kind, fau.Target, fau.For.Milliseconds())
 }
 
-// Pauses between faults and how long faults last.
+// Intervals between faults and durations of faults.
 const (
-	meanPause = 700 * time.Millisecond
-	// seriesShare is how often a fault strikes the same target as the one before,
-	// right after it.
-	seriesShare = 0.3
-	seriesPause = 120 * time.Millisecond
-	shortest    = 300 * time.Millisecond
-	longest     = 4500 * time.Millisecond
+	meanInterval = 700 * time.Millisecond
+	// repeatProbability is the probability that a fault is injected again at the
+	// same target after repeatDelay.
+	repeatProbability = 0.3
+	repeatDelay       = 120 * time.Millisecond
+	minFaultTime      = 300 * time.Millisecond
+	maxFaultTime      = 4500 * time.Millisecond
 )
 
-// Schedule draws the faults of a run. The same seed draws the same ones.
+// Schedule returns the faults of a run. It is a function of its arguments: the
+// same seed gives the same faults.
 func Schedule(seed uint64, span time.Duration, nodes, vms, zones int) (faults []Fault) {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	total := 0
@@ -89,7 +92,7 @@
 	}
 	at := time.Second
 	for at < span {
-		fau := Fault{At: at, Kind: draw(), For: shortest + time.Duration(rng.Int64N(int64(longest-shortest)))}
+		fau := Fault{At: at, Kind: draw(), For: minFaultTime + time.Duration(rng.Int64N(int64(maxFaultTime-minFaultTime)))}
 		switch fau.Kind {
 		case VMReset, VMSilence, VMCut, VMCrash:
 			fau.Target = rng.IntN(vms)
@@ -99,12 +102,12 @@
 			fau.Target = rng.IntN(nodes)
 		}
 		faults = append(faults, fau)
-		if rng.Float64() < seriesShare {
-			again := fau
-			again.At += seriesPause
-			faults = append(faults, again)
+		if rng.Float64() < repeatProbability {
+			repeat := fau
+			repeat.At += repeatDelay
+			faults = append(faults, repeat)
 		}
-		at += time.Duration(rng.ExpFloat64() * float64(meanPause))
+		at += time.Duration(rng.ExpFloat64() * float64(meanInterval))
 	}
 	return faults
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -14,111 +14,119 @@
 	"github.com/balsamgauge/balsamgauge/internal/standin/site"
 )
 
-// Options say what to run.
+// Options holds the parameters of a run.
 type Options struct {
 	Seed uint64
-	// For is how long faults are injected.
+	// For is the time for which jobs are submitted and faults injected.
 	For time.Duration
-	// Processes is how many processes of the program run.
+	// Processes is the number of processes of the program.
 	Processes int
-	// Machines is how many VMs the stand-in has in each of two pools.
+	// Machines is the number of VMs that the stand-in has in each of two pools.
 	Machines int
-	// Binary is the program; Dir gets settings and logs.
+	// Binary is the path of the program. Settings and logs are written to Dir.
 	Binary string
 	Dir    string
 }
 
-// Report is what a run saw.
+// Report holds the faults and the results of a run.
 type Report struct {
 	Faults []Fault
-	// Accepted counts jobs, Started runs of tasks.
+	// Accepted counts accepted jobs, Started started runs of tasks.
 	Accepted, Started int
-	// Broken lists what broke a promise.
-	Broken []string
+	// Violations lists the violated invariants.
+	Violations []string
 }
 
-// Times of a run.
+// Parameters of a run.
 const (
-	// settleTime is how long after the last fault all jobs must have ended.
-	settleTime = 25 * time.Second
-	readyTime  = 15 * time.Second
-	// waveTime is how long a wave of upkeep may take; waveCap is how many
-	// machines it may take down at once.
-	waveTime = 20 * time.Second
-	waveCap  = 2
-	// leaseTime is how long a VM that can't be reached runs on, at most.
-	leaseTime = 4500 * time.Millisecond
-	// lastingTime is longer than a run of the soak.
-	lastingTime = time.Hour
-	// failShare is how often a run of a task fails.
-	failShare = 0.03
-	callers   = 6
+	// settleTimeout is the time after the last fault within which all jobs must
+	// end.
+	settleTimeout = 25 * time.Second
+	readyTimeout  = 15 * time.Second
+	// waveTimeout bounds the duration of a wave of upkeep, waveMaxDown the number
+	// of machines that it may take down at the same time.
+	waveTimeout = 20 * time.Second
+	waveMaxDown = 2
+	// vmLease is the longest time for which a VM that can't be reached continues
+	// to run tasks.
+	vmLease = 4500 * time.Millisecond
+	// lastingTaskTime exceeds the duration of any run, so that lasting tasks end
+	// only by cancellation.
+	lastingTaskTime = time.Hour
+	// taskFailProbability is the probability that a run of a task fails.
+	taskFailProbability = 0.03
+	callerCount         = 6
 )
 
-// smallCap is the cap of the account that has one, in thousandths of a core:
-// about one and a half times what the callers ask of it.
-const smallCap = 24_000
+// smallCapMilliCPU is the cap of the account that has one, in thousandths of a
+// core: about one and a half times what the callers request for it.
+const smallCapMilliCPU = 24_000
 
-// Run is a run of the soak.
+// Run is one run of the soak: the stand-in, the processes, the ledger and the
+// faults in progress.
 type Run struct {
 	opt    Options
 	ledger *ledger.Ledger
 	sit    *site.Site
 	nodes  []*node
-	// ways holds the proxy of each VM.
-	ways []*proxy.Proxy
-
-	mu      sync.Mutex
-	version int
-	keys    map[string]string
-	waves   int
-	// wrong ends of processes are recorded by those who wait for them.
-	waits sync.WaitGroup
+	// vmProxies holds the proxy in front of each VM.
+	vmProxies []*proxy.Proxy
+
+	mu            sync.Mutex
+	configVersion int
+	keys          map[string]string
+	waves         int
+	// pending tracks the faults in progress and the restarts that follow them. Their
+	// goroutines record violations in the ledger.
+	pending sync.WaitGroup
 }
 
-// Play plays a run. The error says that it could not be played.
-func Play(ctx context.Context, opt Options) (rep Report, err error) {
-	run := &Run{opt: opt, keys: map[string]string{}, ledger: ledger.New(ledger.PlatformBounds, map[string]int64{accounts[0]: smallCap})}
+// Execute executes a run. It returns an error if the run could not be set up;
+// violated invariants are in the report.
+func Execute(ctx context.Context, opt Options) (rep Report, err error) {
+	run := &Run{opt: opt, keys: map[string]string{}, ledger: ledger.New(ledger.PlatformBounds, map[string]int64{accounts[0]: smallCapMilliCPU})}
 	defer run.close()
 	if err := run.start(); err != nil {
 		return Report{}, fmt.Errorf("soak with seed %d: %w", opt.Seed, err)
 	}
-	rep.Faults = Schedule(opt.Seed, opt.For, opt.Processes, len(run.ways), len(run.sit.Zones()))
-	submitting, stopSubmitting := context.WithTimeout(ctx, opt.For)
+	rep.Faults = Schedule(opt.Seed, opt.For, opt.Processes, len(run.vmProxies), len(run.sit.Zones()))
+	submitCtx, stopSubmitting := context.WithTimeout(ctx, opt.For)
 	defer stopSubmitting()
-	over, stop := context.WithTimeout(ctx, opt.For+settleTime)
+	settleCtx, stop := context.WithTimeout(ctx, opt.For+settleTimeout)
 	defer stop()
 	var work sync.WaitGroup
-	for i := range callers {
+	for i := range callerCount {
 		cal := newCaller(run, i)
-		work.Go(func() { cal.work(submitting, over) })
+		work.Go(func() { cal.work(submitCtx, settleCtx) })
 	}
-	run.inject(submitting, rep.Faults)
-	run.waits.Wait()
+	run.injectSchedule(submitCtx, rep.Faults)
+	run.pending.Wait()
 	work.Wait()
-	// What was cancelled last may be stopped yet, and what a fault has cut off ends
-	// with its lease.
-	clock.Pause(ctx, ledger.PlatformBounds.Cancel+leaseTime)
+	// Tasks cancelled last may still be stopping, and tasks on a VM that a fault
+	// disconnected run until its lease expires.
+	clock.Pause(ctx, ledger.PlatformBounds.Cancel+vmLease)
 	run.stopNodes()
 	if ctx.Err() == nil {
 		run.ledger.Finish(time.Now())
 	}
 	rep.Accepted, rep.Started = run.ledger.Counts()
-	rep.Broken = run.ledger.Broken()
+	rep.Violations = run.ledger.Violations()
 	return rep, nil
 }
 
-// observer passes on what the VMs do, with the time.
+// observer records the events of the VMs in the ledger, with the current time.
 type observer struct{ led *ledger.Ledger }
 
 func (obs observer) Started(vm, zone, task string, run int, payload string) {
 	obs.led.Started(time.Now(), vm, zone, task, run, payload)
 }
-func (obs observer) Ended(vm, task string, _ int, how string)       { obs.led.Ended(vm, task, how) }
-func (obs observer) Acknowledged(_, task string, _ int, how string) { obs.led.Acknowledged(task, how) }
-func (obs observer) Broken(what string)                             { obs.led.Fail(time.Now(), what) }
+func (obs observer) Ended(vm, task string, _ int, result string) { obs.led.Ended(vm, task, result) }
+func (obs observer) Acknowledged(_, task string, _ int, result string) {
+	obs.led.Acknowledged(task, result)
+}
+func (obs observer) Broken(violation string) { obs.led.AddViolation(time.Now(), violation) }
 
-// start starts the stand-in and the processes.
+// start starts the stand-in and the processes, and waits until these are ready.
 func (run *Run) start() (err error) {
 	if err := os.MkdirAll(run.opt.Dir, 0o755); err != nil {
 		return err
@@ -129,30 +137,30 @@
 		Pools: run.pools(),
 		Outcome: func(task string, _ int) (time.Duration, string) {
 			if run.ledger.Lasts(task) {
-				return lastingTime, "failed"
+				return lastingTaskTime, "failed"
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			how := "done"
-			if rng.Float64() < failShare {
-				how = "failed"
+			result := "done"
+			if rng.Float64() < taskFailProbability {
+				result = "failed"
 			}
-			return time.Duration(float64(taskTime) * (0.3 + 1.5*rng.Float64())), how
+			return time.Duration(float64(taskEstimate) * (0.3 + 1.5*rng.Float64())), result
 		},
 		Expose: func(_, address string) (string, error) {
-			pro, err := proxy.New(address)
+			prx, err := proxy.New(address)
 			if err != nil {
 				return "", err
 			}
-			run.ways = append(run.ways, pro)
-			return pro.Address(), nil
+			run.vmProxies = append(run.vmProxies, prx)
+			return prx.Address(), nil
 		},
 		Observer: observer{run.ledger},
 	})
 	if err != nil {
 		return err
 	}
-	run.changeKeys(accounts...)
+	run.rotateKeys(accounts...)
 	for i := range run.opt.Processes {
 		nod, err := newNode(fmt.Sprintf("entry-%d", i), run.opt.Binary, run.opt.Dir, run.sit.StoreAddress, run.sit.MachinesAddress)
 		if err != nil {
@@ -166,17 +174,18 @@
 	return run.awaitReady()
 }
 
-// pools are those of the stand-in; only the first has a queue.
+// pools returns the pools of the stand-in. Only the first has a queue.
 func (run *Run) pools() []site.Pool {
 	return []site.Pool{
 		{Name: "lots", Workers: run.opt.Machines}, {Name: "kiosk", Workers: run.opt.Machines}, {Name: "spare", Workers: 2, Standby: true},
 	}
 }
 
-// queuePrefix begins the paths of jobs.
+// queuePrefix is the path prefix of jobs.
 const queuePrefix = "/gate/"
 
-// close ends what is left.
+// close kills the processes that still run and stops the proxies and the
+// stand-in.
 func (run *Run) close() {
 	for _, nod := range run.nodes {
 		if nod.cmd != nil {
@@ -184,25 +193,25 @@
 		}
 		nod.store.Close()
 	}
-	for _, way := range run.ways {
-		way.Close()
+	for _, prx := range run.vmProxies {
+		prx.Close()
 	}
 	if run.sit != nil {
 		run.sit.Stop()
 	}
 }
 
-// stopNodes ends all processes gracefully.
+// stopNodes shuts all processes down gracefully and records the violations.
 func (run *Run) stopNodes() {
-	var ends sync.WaitGroup
+	var stopping sync.WaitGroup
 	for _, nod := range run.nodes {
-		ends.Go(func() {
-			if wrong := nod.terminate(); wrong != "" {
-				run.ledger.Fail(time.Now(), wrong)
+		stopping.Go(func() {
+			if violation := nod.terminate(); violation != "" {
+				run.ledger.AddViolation(time.Now(), violation)
 			}
 		})
 	}
-	ends.Wait()
+	stopping.Wait()
 }
 
 func (run *Run) key(account string) string {
@@ -211,45 +220,45 @@
 	return run.keys[account]
 }
 
-// changeKeys gives accounts new keys in a new configuration. The former ones are
-// withdrawn.
-func (run *Run) changeKeys(names ...string) {
+// rotateKeys writes a new configuration in which the given accounts have new
+// keys. The previous keys are withdrawn.
+func (run *Run) rotateKeys(names ...string) {
 	run.mu.Lock()
 	defer run.mu.Unlock()
-	run.version += 2
-	former := map[string]string{}
+	run.configVersion += 2
+	withdrawn := map[string]string{}
 	for _, name := range names {
-		former[name] = run.keys[name]
-		run.keys[name] = fmt.Sprintf("%s-%d", name, run.version)
+		withdrawn[name] = run.keys[name]
+		run.keys[name] = fmt.Sprintf("%s-%d", name, run.configVersion)
 	}
 	cfg := site.Config{
-		Version: run.version, Pools: run.pools(),
+		Version: run.configVersion, Pools: run.pools(),
 		Queues: []site.Queue{{Name: "gate", Prefix: queuePrefix, Pool: "lots", Attempts: ledger.PlatformBounds.Attempts}},
 	}
 	for _, name := range accounts {
 		acc := site.Account{Name: name, Keys: []string{run.keys[name]}}
 		if name == accounts[0] {
-			acc.CPU = smallCap
+			acc.CPU = smallCapMilliCPU
 		}
 		cfg.Accounts = append(cfg.Accounts, acc)
 	}
 	run.sit.Configure(cfg)
-	for _, key := range former {
+	for _, key := range withdrawn {
 		if key != "" {
 			run.ledger.Withdraw(time.Now(), key)
 		}
 	}
 }
 
-// inject injects the faults at their times.
-func (run *Run) inject(ctx context.Context, faults []Fault) {
-	began := time.Now()
+// injectSchedule injects the faults at their times and returns when ctx is done.
+func (run *Run) injectSchedule(ctx context.Context, faults []Fault) {
+	start := time.Now()
 	for _, fau := range faults {
-		clock.Pause(ctx, time.Until(began.Add(fau.At)))
+		clock.Pause(ctx, time.Until(start.Add(fau.At)))
 		if ctx.Err() != nil {
 			return
 		}
-		run.strike(fau)
+		run.injectFault(fau)
 	}
 	<-ctx.Done()
 }
