--- a/internal/core/scheduler/emulator_test.go
+++ b/internal/core/scheduler/emulator_test.go
@@ -28,8 +28,9 @@
 
 	catalog catalog.Catalog
 	vms     map[string]*emulatedVM
-	names   []string
-	store   *emulatedStore
+	// names holds the keys of vms in the order in which they were added.
+	names []string
+	store *emulatedStore
 
 	sched          *State
 	opt            Options
@@ -105,25 +106,30 @@
 	return last
 }
 
-// emulatedVM is a machine with its current VM.
+// emulatedVM is a machine and the VM that currently runs on it.
 type emulatedVM struct {
 	vm          worker.VM
 	up          bool
 	partitioned bool
-	born        time.Time
-	fence       int64
-	runs        map[job.Task]*emulatedRun
-	ends        []worker.End
-	// endTimes holds the time of each end of this VM by its number; lapsed is
-	// when the lease last expired.
-	endTimes     map[int64]time.Time
-	lapsed       time.Time
-	number       int64
-	tombstones   map[job.Task]int
+	startedAt   time.Time
+	// fence is the highest term that the VM has accepted.
+	fence int64
+	runs  map[job.Task]*emulatedRun
+	ends  []worker.End
+	// endTimes holds the time of each end of this VM by its number;
+	// leaseExpiredAt is when the lease last expired.
+	endTimes       map[int64]time.Time
+	leaseExpiredAt time.Time
+	// number is the number of the last end.
+	number int64
+	// tombstones holds, by task, the highest run number that the VM rejects.
+	tombstones map[job.Task]int
+	// deadline is the end of the lease on the VM's clock.
 	deadline     time.Duration
 	incarnations int
-	waiter       func()
-	failsTasks   bool
+	// waiter answers the poll that waits for an end; nil if none does.
+	waiter     func()
+	failsTasks bool
 	// offline reports whether the machine is down for upkeep or moving.
 	// upkeepBegun holds the waves in which its upkeep has begun.
 	offline     bool
@@ -207,12 +213,12 @@
 func (emu *emulator) boot(vm *emulatedVM) {
 	vm.incarnations++
 	vm.up = true
-	vm.born = emu.now
+	vm.startedAt = emu.now
 	vm.vm.ID = fmt.Sprintf("%s.%d", vm.vm.Address, vm.incarnations)
-	vm.vm.Born = emu.now.UnixMilli()
+	vm.vm.StartedAtMS = emu.now.UnixMilli()
 	vm.fence, vm.number, vm.deadline = 0, 0, 0
 	vm.runs, vm.ends, vm.tombstones = map[job.Task]*emulatedRun{}, nil, map[job.Task]int{}
-	vm.endTimes, vm.lapsed = map[int64]time.Time{}, time.Time{}
+	vm.endTimes, vm.leaseExpiredAt = map[int64]time.Time{}, time.Time{}
 	one := vm.vm
 	emu.after(emulatedLatency, func() { emu.deliver(VMRegistered{VM: one}) })
 }
@@ -253,7 +259,7 @@
 
 // clock returns a VM's monotonic clock, which is 2% slow.
 func (emu *emulator) clock(vm *emulatedVM) time.Duration {
-	return time.Duration(float64(emu.now.Sub(vm.born)) * 0.98)
+	return time.Duration(float64(emu.now.Sub(vm.startedAt)) * 0.98)
 }
 
 // deliver queues an event for the dispatcher, if there is one.
@@ -344,7 +350,7 @@
 	if emu.wave != nil {
 		emu.deliver(WaveRequested{Wave: *emu.wave, Begun: emu.begun})
 	}
-	emu.deliver(Loaded{})
+	emu.deliver(JobsLoaded{})
 	var ended EndedJobsListed
 	for _, itm := range emu.store.sorted(job.EndedPrefix) {
 		out, err := job.Unmarshal[job.Outcome](itm.Value)
@@ -589,7 +595,7 @@
 		if vm.vm.ID != id || !vm.up || emu.clock(vm) < vm.deadline {
 			return
 		}
-		vm.lapsed = emu.now
+		vm.leaseExpiredAt = emu.now
 		for _, name := range vm.sorted() {
 			emu.endRun(vm, name, vm.runs[name], worker.EndLeaseExpired)
 		}
@@ -851,7 +857,7 @@
 			kept = append(kept, end)
 			continue
 		}
-		if end.Kind == worker.EndFailed && vm.lapsed.Before(vm.endTimes[end.Number]) {
+		if end.Kind == worker.EndFailed && vm.leaseExpiredAt.Before(vm.endTimes[end.Number]) {
 			tru := emu.truthOf(end.Task)
 			tru.failedAcked = append(tru.failedAcked, vm.endTimes[end.Number])
 			emu.checkAttempts(end.Task)
@@ -868,7 +874,7 @@
 
 // reportOf returns a VM's report of its runs and ends.
 func (emu *emulator) reportOf(vm *emulatedVM) worker.Report {
-	rep := worker.Report{Clock: emu.clock(vm), Born: vm.vm.Born, Ends: append([]worker.End(nil), vm.ends...)}
+	rep := worker.Report{Clock: emu.clock(vm), StartedAtMS: vm.vm.StartedAtMS, Ends: append([]worker.End(nil), vm.ends...)}
 	for _, name := range vm.sorted() {
 		run := vm.runs[name]
 		rep.Running = append(rep.Running, worker.Running{Task: name, Run: run.run, Percent: 100})
--- a/internal/core/scheduler/event.go
+++ b/internal/core/scheduler/event.go
@@ -51,8 +51,10 @@
 
 // PollAnswered answers a Poll.
 type PollAnswered struct {
-	VM     worker.VM
-	Sent   time.Time
+	VM worker.VM
+	// Sent is when the poll was sent.
+	Sent time.Time
+	// Report is valid if Result is ResultOK.
 	Report worker.Report
 	Result worker.Result
 }
@@ -92,11 +94,15 @@
 	Job        job.ID
 	Occurrence int
 	Step       int
-	Sent       time.Time
+	// Sent is when the query was sent.
+	Sent time.Time
 	// VMs lists the VMs that the query named.
-	VMs     []string
+	VMs []string
+	// Tickets holds the tokens of the tickets by VM. The step may not run on the
+	// VMs without one.
 	Tickets map[string]string
-	Valid   time.Duration
+	// Valid is the time for which the tickets are valid.
+	Valid time.Duration
 }
 
 // AdvisorSlotsChanged carries the maximum number of concurrent queries to the
@@ -128,9 +134,9 @@
 // received.
 type JobWatchProgressed struct{ At time.Time }
 
-// Loaded reports that all jobs that were stored at the start of the tenure
+// JobsLoaded reports that all jobs that were stored at the start of the tenure
 // have been received.
-type Loaded struct{}
+type JobsLoaded struct{}
 
 func (Tick) event()                {}
 func (CatalogChanged) event()      {}
@@ -152,4 +158,4 @@
 func (MachineAnswered) event()     {}
 func (EndedJobsListed) event()     {}
 func (JobWatchProgressed) event()  {}
-func (Loaded) event()              {}
+func (JobsLoaded) event()          {}
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -38,7 +38,7 @@
 		run.sit.Store.SetDown(true)
 		afterFault(func() { run.sit.Store.SetDown(false) })
 	case StoreReplyLost:
-		run.sit.Store.LoseAnswers(lostReplies)
+		run.sit.Store.DropResponses(lostReplies)
 	case StoreCompact:
 		run.sit.Store.Compact()
 	case KeyChange:
@@ -145,10 +145,10 @@
 	machines := []string{}
 	for i, wor := range run.sit.Workers {
 		if i%2 == run.waves%2 {
-			machines = append(machines, wor.Machine())
+			machines = append(machines, wor.MachineName())
 		}
 	}
-	run.sit.AskWave(run.waves, machines, waveTimeout, waveMaxDown)
+	run.sit.RequestWave(run.waves, machines, waveTimeout, waveMaxDown)
 }
 
 // awaitReady waits until every process reports that it is ready.
