--- a/internal/advisory/registry.go
+++ b/internal/advisory/registry.go
@@ -69,7 +69,7 @@
 		return err
 	}
 	defer func() {
-		end := call(context.WithoutCancel(ctx), func(ctx context.Context) error { return reg.Store.EndLease(ctx, lea) })
+		end := call(context.WithoutCancel(ctx), func(ctx context.Context) error { return reg.Store.Revoke(ctx, lea) })
 		if end != nil && !errors.Is(end, kv.ErrLeaseGone) {
 			reg.Log.Event("lease_not_ended", decisionlog.Fields{"lease": lea, "error": end.Error()})
 		}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -233,7 +233,7 @@
 func (ele *Elector) revokeLease(lea kv.LeaseID) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaseTimeout)
 	defer cancel()
-	if err := ele.opt.Store.EndLease(ctx, lea); err != nil && !errors.Is(err, kv.ErrLeaseGone) {
+	if err := ele.opt.Store.Revoke(ctx, lea); err != nil && !errors.Is(err, kv.ErrLeaseGone) {
 		ele.opt.Log.Event("lease_not_ended", decisionlog.Fields{"lease": lea, "error": err.Error()})
 	}
 }
--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -125,7 +125,7 @@
 	Commit(ctx context.Context, txn Txn) (rev Revision, err error)
 	Grant(ctx context.Context, ttl time.Duration) (lea LeaseID, err error)
 	Renew(ctx context.Context, lea LeaseID) (err error)
-	EndLease(ctx context.Context, lea LeaseID) (err error)
+	Revoke(ctx context.Context, lea LeaseID) (err error)
 }
 
 // List reads all pages of a prefix. Changes after the returned revision must be
