--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -31,7 +31,7 @@
 	// eventQueueSize is how many events may wait for the loop.
 	eventQueueSize = 4096
 	// maxTaskLease bounds how long a VM runs tasks without being polled. It is
-	// longer than a takeover of the duty takes.
+	// longer than a takeover of the duty takes, so that runs outlast one.
 	maxTaskLease = 4 * time.Second
 	// leaseFraction is the part of the longest lease granted by a VM that is
 	// used.
@@ -49,9 +49,9 @@
 	loadWrittenAt time.Time
 	// waveWrites serializes the writes of wave states.
 	waveWrites sync.Mutex
-	// ticketPool sends queries to the advisor; reportedSources is its number of
-	// sources as last reported to the reducer.
-	ticketPool      *advisory.Pool
+	// ticketSources sends queries to the advisor; reportedSources is the number
+	// of available sources that was last reported to the reducer.
+	ticketSources   *advisory.Pool
 	reportedSources int
 }
 
@@ -60,7 +60,7 @@
 	cur := ten.Current()
 	set := nod.settings()
 	bnd := set.Bounds
-	dis := &dispatcher{nod: nod, ten: ten, events: make(chan scheduler.Event, eventQueueSize), ticketPool: advisory.NewPool(nod.now)}
+	dis := &dispatcher{nod: nod, ten: ten, events: make(chan scheduler.Event, eventQueueSize), ticketSources: advisory.NewPool(nod.now)}
 	dis.sta = scheduler.New(scheduler.Options{
 		Since: cur.Since, Revision: cur.Revision, Term: cur.Holder.Term,
 		Lease:    min(maxTaskLease, time.Duration(float64(bnd.MaxTaskLease)*leaseFraction)),
@@ -102,7 +102,7 @@
 			// Events are kept until the duty is guaranteed to be held again.
 			continue
 		}
-		if available := dis.ticketPool.Available(); available != dis.reportedSources {
+		if available := dis.ticketSources.Available(); available != dis.reportedSources {
 			dis.reportedSources = available
 			batch = append(batch, scheduler.AdvisorSlotsChanged{Count: available})
 		}
@@ -119,7 +119,7 @@
 // long, as they rarely change.
 const ticketSourcesWait = 2 * time.Second
 
-// followTicketSources keeps the ticket pool up to date once some queue needs
+// followTicketSources keeps the ticket sources up to date once some queue needs
 // advice.
 func (dis *dispatcher) followTicketSources(ctx context.Context) {
 	for !dis.nod.needsAdvice() {
@@ -129,7 +129,7 @@
 		}
 	}
 	wat := &advisory.Watcher{
-		Store: dis.nod.store, Pool: dis.ticketPool, Name: dis.nod.settings().Name, Local: dis.nod.relay, Wait: ticketSourcesWait,
+		Store: dis.nod.store, Pool: dis.ticketSources, Name: dis.nod.settings().Name, Local: dis.nod.relay, Wait: ticketSourcesWait,
 		Log: dis.nod.log, Now: dis.nod.now,
 	}
 	wat.Run(ctx)
--- a/internal/manager/effects.go
+++ b/internal/manager/effects.go
@@ -96,6 +96,7 @@
 	callCtx, cancel := context.WithTimeout(ctx, eff.Wait+pollSlack)
 	defer cancel()
 	rep, res, err := dis.nod.executors.Poll(callCtx, eff.VM, platform.Poll{Term: dis.term(), Acked: eff.Acked, Deadline: eff.Deadline, Wait: eff.Wait})
+	// The log's name of a poll is "look".
 	dis.logFailure("look", eff.VM.ID, err)
 	dis.send(ctx, scheduler.PollAnswered{VM: eff.VM, Sent: now, Report: rep, Result: res})
 }
@@ -131,7 +132,7 @@
 	evt := scheduler.AdvisorAnswered{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs}
 	callCtx, cancel := context.WithTimeout(ctx, advisory.QueryTimeout(eff.Latency))
 	defer cancel()
-	ans, err := dis.ticketPool.RequestTickets(callCtx, advisory.Query{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs})
+	ans, err := dis.ticketSources.RequestTickets(callCtx, advisory.Query{Job: eff.Job, Occurrence: eff.Occurrence, Step: eff.Step, VMs: eff.VMs})
 	if err != nil {
 		dis.nod.log.Event("no_advice", decisionlog.Fields{"job": string(eff.Job), "step": eff.Step, "error": err.Error()})
 	} else {
@@ -155,8 +156,9 @@
 // lost.
 var errNotHeld = errors.New("the duty is not guaranteed to be held")
 
-// machineOrder sends an order for a machine. VMs don't check the term of these
-// orders, so the duty must be guaranteed to be held when the order is sent.
+// machineOrder sends an order for a machine. Unlike a VM, the machines API
+// doesn't reject an order with an old term, so the duty must be guaranteed to
+// be held when the order is sent.
 func (dis *dispatcher) machineOrder(ctx context.Context, machine string, wave int64, order func(context.Context, platform.OrderIssuer) (worker.MachineResult, error)) {
 	callCtx, cancel := context.WithTimeout(ctx, machinesTimeout)
 	defer cancel()
@@ -170,8 +172,8 @@
 	dis.send(ctx, scheduler.MachineAnswered{Machine: machine, Wave: wave, Result: res})
 }
 
-// wavePrefix is the prefix of the keys that hold the machines whose upkeep has
-// begun.
+// wavePrefix is the prefix of the keys that hold, for each wave, the names of
+// the machines whose upkeep has begun.
 const wavePrefix = "upkeep/"
 
 func waveKey(number int64) string { return fmt.Sprintf("%s%d", wavePrefix, number) }
--- a/internal/manager/load.go
+++ b/internal/manager/load.go
@@ -55,7 +55,8 @@
 // maxLoadAge is the age beyond which a load is no longer used to refuse jobs.
 const maxLoadAge = 2500 * time.Millisecond
 
-// admit decides whether a queue admits a job. Without a recent load it admits
+// admit decides whether a queue admits a job: it returns an empty reason if so,
+// and otherwise the retry delay and the reason. Without a recent load it admits
 // all.
 func (lov *loadView) admit(now time.Time, que *catalog.Queue, spe job.Spec) (after time.Duration, reason string) {
 	lov.mu.Lock()
--- a/internal/manager/manager_test.go
+++ b/internal/manager/manager_test.go
@@ -27,6 +27,7 @@
 }
 
 type process struct {
+	// callers and ready are the addresses for client calls and health checks.
 	callers string
 	ready   string
 	// settings is the path of the process's settings file.
--- a/internal/manager/node.go
+++ b/internal/manager/node.go
@@ -66,7 +66,7 @@
 	metrics   metrics.Registry
 }
 
-// New returns a process with the given settings that logs to out.
+// New returns a node with the given settings that logs to out.
 func New(set platform.Settings, out io.Writer) (nod *Node, err error) {
 	clo, err := clock.New()
 	if err != nil {
@@ -113,6 +113,8 @@
 		}
 	}
 	registration := &advisory.Registration{Store: nod.store, Name: nod.settings().Name, Address: nod.internalAddress(), Needed: nod.needsAdvice, Log: nod.log}
+	// releaseDuty, the interrupt function of the election, also ends the
+	// registration.
 	group.Add(func() error { registration.Run(dutyCtx); return nil }, func(error) {})
 	group.Add(func() error { nod.followSettings(workCtx); return nil }, func(error) { stop() })
 	group.Add(func() error { <-ctx.Done(); return nil }, func(error) {})
--- a/internal/manager/view.go
+++ b/internal/manager/view.go
@@ -20,6 +20,7 @@
 	mu    sync.Mutex
 	view  intake.View
 	zones map[string]bool
+	// waves holds the waves by store key, as a deletion names only the key.
 	waves map[string]upkeep.Wave
 	// changed is closed and replaced at each change.
 	changed chan struct{}
@@ -88,7 +89,7 @@
 	opv.changed = make(chan struct{})
 }
 
-// apply applies one change. Entries that can't be decoded are ignored.
+// apply applies one change. Items that can't be decoded are ignored.
 func (opv *operatorView) apply(cha kv.Change) {
 	itm := cha.Item
 	if az, ok := platform.ParseEvacuation(itm.Key); ok {
