--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -2,7 +2,9 @@
 // exclusive right to dispatch, which one of them holds at a time under a lease
 // of the store. Each tenure of the duty has a term, its fencing token.
 //
-// A VM in this package is an entry VM, on which such a process runs.
+// A VM in this package is an entry VM, on which such a process runs. Its size
+// is the CPU time that the process may use, in cores. A process whose VM is much
+// smaller than the largest one hands the duty back.
 package election
 
 import (
@@ -25,18 +27,19 @@
 const (
 	// leaseTimeout bounds a call about the lease.
 	leaseTimeout = 600 * time.Millisecond
-	// maxClaimDelay is how much later a VM without processors would claim the
-	// duty than the largest one, so that larger VMs get it.
+	// maxClaimDelay scales the delay with which a VM claims a released duty: the
+	// largest VM claims it at once, one of half its size after half of this
+	// delay. So larger VMs get the duty.
 	maxClaimDelay = 800 * time.Millisecond
-	// minHolderSize is the fraction of the largest VM's processors below which
-	// a holder hands the duty back: it could not keep up with all pools at
+	// minHolderSize is the fraction of the largest VM's size below which a
+	// holder hands the duty back: it could not keep up with all pools of VMs at
 	// their busiest.
 	minHolderSize = 0.6
-	// minTenure is how long such a holder keeps the duty, so that larger VMs
-	// that restart are back.
+	// minTenure is how long a holder below that size keeps the duty before it
+	// hands it back, so that larger VMs that restart are back.
 	minTenure = 4 * time.Second
-	// handbackInterval is how long such a holder keeps the duty after it has
-	// handed it back and no larger VM took it.
+	// handbackInterval is the shortest time between two handbacks by the same
+	// process, which takes the duty again if no larger VM does.
 	handbackInterval = 20 * time.Second
 	// claimPollInterval is how often a process that doesn't hold the duty
 	// checks whether it is free, in case no watch reports it.
@@ -56,7 +59,8 @@
 	largest atomic.Uint64
 	// handedBackAt is when the duty was last handed back to larger VMs.
 	handedBackAt time.Time
-	// released is signalled when the holder's key has been removed.
+	// released is signalled when the process has seen that the holder's key is
+	// gone.
 	released chan struct{}
 }
 
@@ -144,7 +148,7 @@
 	}
 }
 
-// relativeSize returns this VM's processors as a part of the largest VM's.
+// relativeSize returns this VM's size as a fraction of the largest VM's.
 func (ele *Elector) relativeSize() float64 {
 	largest := math.Float64frombits(ele.largest.Load())
 	if largest <= 0 {
@@ -239,7 +243,8 @@
 }
 
 // hold runs the dispatcher and renews the lease until the lease is lost, the
-// tenure ends or the context is done.
+// duty is handed back, the tenure is ended or the context is done. Then it
+// revokes the lease.
 func (ele *Elector) hold(ctx context.Context, ten *Tenure) {
 	dutyCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
