--- a/internal/advisory/relay.go
+++ b/internal/advisory/relay.go
@@ -65,8 +65,8 @@
 		wri.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	// The write fails only if the entry has disconnected; it then repeats the
-	// query.
+	// The write fails only if the other entry has disconnected. Its dispatcher
+	// repeats the query.
 	_, _ = wri.Write(raw)
 }
 
--- a/internal/decisionlog/log.go
+++ b/internal/decisionlog/log.go
@@ -16,9 +16,9 @@
 // Limits of the volume.
 const (
 	// maxPerSecond is how many events of one name are written in a second. The
-	// others are counted.
+	// others are dropped, and their number is a field of the next one.
 	maxPerSecond = 40
-	// queueCapacity is how many lines may wait for a slow reader.
+	// queueCapacity is how many lines may wait while the output is slow.
 	queueCapacity = 512
 )
 
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -31,7 +31,8 @@
 	VerdictUnknownJob
 	// VerdictInvalid means that the job is malformed; it never runs.
 	VerdictInvalid
-	// VerdictRefused means that the job was not accepted and never runs.
+	// VerdictRefused means that the queue didn't admit the job. It was not
+	// accepted and never runs.
 	VerdictRefused
 	// VerdictUnavailable means that the process can't decide at present;
 	// nothing was done.
@@ -100,7 +101,9 @@
 	Freshness func() Freshness
 	// View returns the current view.
 	View func() View
-	// Admit decides whether a queue admits another job; nil admits all.
+	// Admit decides whether a queue admits another job: it returns an empty
+	// reason if so, and otherwise the retry delay and the reason. Nil admits
+	// all.
 	Admit func(now time.Time, que *catalog.Queue, spe job.Spec) (retryAfter time.Duration, reason string)
 	// Pending returns the number of a queue's jobs that have not begun.
 	Pending func(ctx context.Context, queue string) (count int, err error)
--- a/internal/intake/retry.go
+++ b/internal/intake/retry.go
@@ -20,7 +20,8 @@
 // retryUnanswered makes a call to the store until it is answered. Calls must be
 // idempotent: an unanswered attempt may have taken effect, or may still do so.
 // The error is ErrUnknown if any attempt was unanswered, unless a later one
-// succeeded or met a conflict, which establishes the outcome.
+// succeeded, met a conflict or found that the key doesn't exist, which
+// establishes the outcome.
 func retryUnanswered(ctx context.Context, call func(ctx context.Context) error) (err error) {
 	var unknown error
 	for range maxAttempts {
