--- a/internal/core/entry/request.go
+++ b/internal/core/entry/request.go
@@ -144,7 +144,7 @@
 	if !ok || wrk.Phase != work.PhaseRunning || wrk.Attempt != evt.Attempt {
 		return
 	}
-	if evt.Leaving {
+	if evt.UpstreamLeaving {
 		stp.markVMLeaving(wrk.VM)
 	}
 	stp.release(wrk)
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -29,8 +29,8 @@
 	SentNanos int64 `json:"sent"`
 	Echo      int64 `json:"echo"`
 	Leaving   bool  `json:"leaving,omitempty"`
-	// Spare lists the permits that the sender can transfer, by team.
-	Spare []SparePermits `json:"spare,omitempty"`
+	// SparePermits lists the permits that the sender can transfer, by team.
+	SparePermits []SparePermits `json:"spare,omitempty"`
 	// SeenLeaving lists the VMs that the sender observed shutting down.
 	SeenLeaving []string `json:"seen_leaving,omitempty"`
 	// Gone lists the voters that the sender knows to have terminated.
@@ -51,6 +51,7 @@
 // SnapshotRequest requests the whole configuration. A peer sends it when its
 // own is older than the retained changes.
 type SnapshotRequest struct {
+	// Have is the revision of the sender's configuration.
 	Have int64 `json:"have"`
 }
 
@@ -71,7 +72,8 @@
 	Suspects []string `json:"suspects,omitempty"`
 }
 
-// LaneDemand is the work of a lane that is ready to start.
+// LaneDemand is the work of a lane, as work.Lane defines it, that is ready to
+// start.
 type LaneDemand struct {
 	Team    string        `json:"t"`
 	Urgency table.Urgency `json:"u"`
@@ -143,8 +145,9 @@
 // PermitTransfer carries the cumulative counts of permits sent to a member.
 type PermitTransfer struct {
 	Totals []permit.Total `json:"totals"`
-	// Spare lists what the sender can still transfer of the listed teams.
-	Spare []SparePermits `json:"spare,omitempty"`
+	// SparePermits lists the permits that the sender can still transfer, by
+	// team.
+	SparePermits []SparePermits `json:"spare,omitempty"`
 }
 
 // Freeze requests that a member stop transfers with members that are about to
@@ -177,7 +180,7 @@
 // request runs.
 type ReserveKey struct {
 	RequestID uint64 `json:"ask"`
-	// Hash covers the team and the caller's idempotency key.
+	// Hash is a hash of the team and the caller's idempotency key.
 	Hash string `json:"hash"`
 }
 
