--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -69,7 +69,7 @@
 		ShareWindow:            bnd.ShareWindow,
 		MachineOrdersPerSecond: set.MachineOrderRate,
 	})
-	go dis.loadState(ctx)
+	go dis.readState(ctx)
 	go dis.followTicketSources(ctx)
 	dis.loop(ctx)
 }
@@ -146,8 +146,8 @@
 	}
 }
 
-// loadState reads the stored state, and follows its changes from then on.
-func (dis *dispatcher) loadState(ctx context.Context) {
+// readState reads the stored state, and follows its changes from then on.
+func (dis *dispatcher) readState(ctx context.Context) {
 	sna := dis.nod.operator.snapshot()
 	for sna.view.Confirmed.IsZero() {
 		var ok bool
@@ -156,14 +156,14 @@
 		}
 	}
 	dis.sendOperatorState(ctx, sna)
-	progress, ok := dis.progress(ctx)
+	progress, ok := dis.readProgress(ctx)
 	if !ok {
 		return
 	}
 	go dis.follow(ctx, platform.VMPrefix, dis.vmsReset(ctx), func(cha kv.Change) { dis.vmChanged(ctx, cha) }, nil)
 	go dis.follow(ctx, job.LivePrefix, dis.jobsReset(ctx, progress), func(cha kv.Change) { dis.jobChanged(ctx, cha, nil) },
 		func(sent time.Time) { dis.send(ctx, scheduler.JobWatchProgressed{At: sent}) })
-	go dis.loadEndedJobs(ctx)
+	go dis.readEndedJobs(ctx)
 	dis.followOperator(ctx, sna)
 }
 
@@ -171,8 +171,8 @@
 // urgent, until a takeover is complete.
 const endedJobsDelay = 5 * time.Second
 
-// loadEndedJobs reads the jobs that earlier dispatchers stored as ended.
-func (dis *dispatcher) loadEndedJobs(ctx context.Context) {
+// readEndedJobs reads the jobs that earlier dispatchers stored as ended.
+func (dis *dispatcher) readEndedJobs(ctx context.Context) {
 	clock.Pause(ctx, endedJobsDelay)
 	items, ok := dis.readAll(ctx, job.EndedPrefix)
 	if !ok {
@@ -210,8 +210,8 @@
 	revision kv.Revision
 }
 
-// progress reads the progress of all live jobs.
-func (dis *dispatcher) progress(ctx context.Context) (all map[job.ID]storedProgress, ok bool) {
+// readProgress reads the stored progress of all live jobs.
+func (dis *dispatcher) readProgress(ctx context.Context) (all map[job.ID]storedProgress, ok bool) {
 	items, ok := dis.readAll(ctx, job.ProgressPrefix)
 	if !ok {
 		return nil, false
