--- a/internal/advisory/pool.go
+++ b/internal/advisory/pool.go
@@ -35,7 +35,8 @@
 	return &Pool{now: now, sources: map[string]*pooledSource{}, changed: make(chan struct{})}
 }
 
-// Set replaces the sources by those with the given names; dial makes new ones.
+// Set replaces the sources by those with the given names. Sources that the pool
+// already has keep their state; dial makes the others.
 func (poo *Pool) Set(names []string, dial func(name string) TicketSource) {
 	poo.mu.Lock()
 	defer poo.mu.Unlock()
--- a/internal/advisory/registry.go
+++ b/internal/advisory/registry.go
@@ -48,34 +48,35 @@
 			clock.Pause(ctx, neededPollInterval)
 			continue
 		}
-		if err := reg.hold(ctx); err != nil && ctx.Err() == nil {
+		if err := reg.keepRegistered(ctx); err != nil && ctx.Err() == nil {
 			reg.Log.Event("asker_not_registered", decisionlog.Fields{"error": err.Error()})
 			clock.Pause(ctx, renewInterval)
 		}
 	}
 }
 
-// hold registers the entry and renews the registration until it is lost or no
-// longer needed.
-func (reg *Registration) hold(ctx context.Context) (err error) {
+// keepRegistered registers the entry and renews the registration until it is
+// lost or no longer needed, or until the context is done. Then it revokes the
+// lease, which removes the registration.
+func (reg *Registration) keepRegistered(ctx context.Context) (err error) {
 	var lea kv.LeaseID
-	call := func(ctx context.Context, call func(context.Context) error) error {
+	withTimeout := func(ctx context.Context, call func(context.Context) error) error {
 		callCtx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		return call(callCtx)
 	}
-	err = call(ctx, func(ctx context.Context) (err error) { lea, err = reg.Store.Grant(ctx, registrationTTL); return err })
+	err = withTimeout(ctx, func(ctx context.Context) (err error) { lea, err = reg.Store.Grant(ctx, registrationTTL); return err })
 	if err != nil {
 		return err
 	}
 	defer func() {
-		end := call(context.WithoutCancel(ctx), func(ctx context.Context) error { return reg.Store.Revoke(ctx, lea) })
+		end := withTimeout(context.WithoutCancel(ctx), func(ctx context.Context) error { return reg.Store.Revoke(ctx, lea) })
 		if end != nil && !errors.Is(end, kv.ErrLeaseGone) {
 			reg.Log.Event("lease_not_ended", decisionlog.Fields{"lease": lea, "error": end.Error()})
 		}
 	}()
 	txn := kv.Txn{Puts: []kv.Put{{Key: Prefix + reg.Name, Value: []byte(reg.Address), Lease: lea}}}
-	if err := call(ctx, func(ctx context.Context) error { _, err := reg.Store.Commit(ctx, txn); return err }); err != nil {
+	if err := withTimeout(ctx, func(ctx context.Context) error { _, err := reg.Store.Commit(ctx, txn); return err }); err != nil {
 		return err
 	}
 	reg.Log.Event("asker_registered", decisionlog.Fields{"address": reg.Address, "lease": lea})
@@ -84,7 +85,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		err := call(ctx, func(ctx context.Context) error { return reg.Store.Renew(ctx, lea) })
+		err := withTimeout(ctx, func(ctx context.Context) error { return reg.Store.Renew(ctx, lea) })
 		if errors.Is(err, kv.ErrLeaseGone) {
 			return err
 		}
