--- a/internal/kv/kv.go
+++ b/internal/kv/kv.go
@@ -38,8 +38,10 @@
 	// Revision is that of the latest change; 0 means that the key doesn't
 	// exist.
 	Revision Revision
-	Created  Revision
-	Lease    LeaseID
+	// Created is the revision at which the key was created.
+	Created Revision
+	// Lease is the lease that the key is attached to.
+	Lease LeaseID
 }
 
 // Change is one change of a key. A deletion has no value.
@@ -54,7 +56,7 @@
 	Revision Revision
 }
 
-// Put writes a value.
+// Put writes a value. The key is removed when its lease, if any, ends.
 type Put struct {
 	Key   string
 	Value []byte
@@ -115,16 +117,23 @@
 
 // Store is a key-value store. Reads are linearizable.
 type Store interface {
+	// Get returns an item. It fails with ErrNotFound if the key doesn't exist.
 	Get(ctx context.Context, key string) (itm Item, err error)
 	// Range returns a page of the items whose keys begin with a prefix and are
 	// greater than after.
 	Range(ctx context.Context, prefix, after string) (pag Page, err error)
 	// Watch returns once something under the prefix has changed after a
-	// revision, or when the wait has passed.
+	// revision, or when the wait has passed. It fails with ErrCompacted if the
+	// history after the revision is gone.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) (bat Batch, err error)
+	// Commit applies a transaction. It fails with a ConflictError if a condition
+	// doesn't hold.
 	Commit(ctx context.Context, txn Txn) (rev Revision, err error)
+	// Grant creates a lease.
 	Grant(ctx context.Context, ttl time.Duration) (lea LeaseID, err error)
+	// Renew restarts a lease's time to live.
 	Renew(ctx context.Context, lea LeaseID) (err error)
+	// Revoke ends a lease before it expires, which removes its keys.
 	Revoke(ctx context.Context, lea LeaseID) (err error)
 }
 
