--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -110,7 +110,7 @@
 		ring:      timeline.NewRing(set.TimelineEvents),
 		registry:  metrics.NewRegistry(),
 		timers:    map[reflect.Type]metrics.Timer{},
-		upstream:  upstream.New(set.ConnectionsPerVM()),
+		upstream:  upstream.New(set.ConnectionShare()),
 		workers:   workerclient.New(),
 		vmlist:    vmlist.New(set.VMList),
 		aborts:    map[attemptKey]context.CancelFunc{},
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -155,8 +155,8 @@
 	}
 }
 
-// ConnectionsPerVM returns the entry's share of the connections to one
-// executor.
-func (set Settings) ConnectionsPerVM() int {
+// ConnectionShare returns the largest number of connections that one entry may
+// have to one executor.
+func (set Settings) ConnectionShare() int {
 	return set.ConnectionsPerExecutor / set.MaxEntries
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -40,6 +40,6 @@
 	for _, path := range paths {
 		set, err := settings.Load(path)
 		assert.NilError(t, err)
-		assert.Assert(t, set.ConnectionsPerVM()*set.MaxEntries <= set.ConnectionsPerExecutor)
+		assert.Assert(t, set.ConnectionShare()*set.MaxEntries <= set.ConnectionsPerExecutor)
 	}
 }
