--- a/internal/runner/answers_test.go
+++ b/internal/runner/answers_test.go
@@ -25,8 +25,8 @@
 
 const credential = "operators"
 
-// request returns a route of kind request to the executors pool.
-func request(name, path string, deadline time.Duration) table.Route {
+// requestRoute returns a route of kind request to the executors pool.
+func requestRoute(name, path string, deadline time.Duration) table.Route {
 	return table.Route{
 		Name: name, Kind: table.KindRequest, Path: path, Pool: "executors", Urgency: table.UrgencyNormal,
 		Deadline: table.Duration(deadline), MaxBodyBytes: 100,
@@ -34,16 +34,16 @@
 }
 
 func tables() table.Tables {
-	only := request("only_one", "/one/", time.Second)
+	only := requestRoute("only_one", "/one/", time.Second)
 	only.Teams = []string{"one"}
-	open := request("open", "/open/", time.Second)
+	open := requestRoute("open", "/open/", time.Second)
 	open.OpenTeam = "one"
-	empty := request("empty", "/empty/", 300*time.Millisecond)
+	empty := requestRoute("empty", "/empty/", 300*time.Millisecond)
 	empty.Pool = "empty"
 	return table.Tables{
 		Teams: []table.Team{{Name: "one", Share: 1, Limit: 50}, {Name: "two", Share: 1, Limit: 1}},
 		Routes: []table.Route{
-			request("any", "/any/", time.Second), request("brief", "/brief/", 300*time.Millisecond), only, open, empty,
+			requestRoute("any", "/any/", time.Second), requestRoute("brief", "/brief/", 300*time.Millisecond), only, open, empty,
 			{Name: "notes", Kind: table.KindTask, Pool: "workers", Urgency: table.UrgencyNormal, Deadline: table.Duration(time.Minute), MaxBodyBytes: 100},
 		},
 		Pools: []table.Pool{
@@ -111,7 +111,8 @@
 }
 
 // call sends a caller's request and returns the status, outcome and refusal
-// code of its response.
+// code of its response. The API key is the one in keys under keyName; work is
+// the time that the executor spends on the request.
 func (fix *fixture) call(method, path, keyName, body, work string, header ...string) string {
 	fix.t.Helper()
 	req, err := http.NewRequest(method, "http://"+fix.runner.CallersListener.Addr().String()+path, strings.NewReader(body))
@@ -134,7 +135,7 @@
 	return fmt.Sprintf("%d %s %s", rsp.StatusCode, rsp.Header.Get(outcome.Header), ref.Code)
 }
 
-// TestAnswers provokes each response in docs/operators/answers.md that a single
+// TestAnswers causes each response in docs/operators/answers.md that a single
 // entry can give and compares them with a golden file. No refused request may
 // have been executed.
 func TestAnswers(t *testing.T) {
@@ -215,15 +216,15 @@
 
 func TestAdminRequiresCredential(t *testing.T) {
 	fix := newFixture(t)
-	stranger := adminclient.New(fix.runner.AdminListener.Addr().String(), "guess")
-	_, err := stranger.Status(context.Background())
+	unauthorized := adminclient.New(fix.runner.AdminListener.Addr().String(), "guess")
+	_, err := unauthorized.Status(context.Background())
 	assert.ErrorContains(t, err, "unauthorized")
-	_, err = stranger.Withdraw(context.Background(), "one")
+	_, err = unauthorized.Withdraw(context.Background(), "one")
 	assert.ErrorContains(t, err, "unauthorized")
 }
 
 // TestKeysAreNotDisclosed guards against a granted key that appears in clear in
-// the store or in the time line.
+// the store or in the timeline.
 func TestKeysAreNotDisclosed(t *testing.T) {
 	fix := newFixture(t)
 	fix.call("POST", "/any/a", "one", "x", "1ms")
--- a/internal/runner/callers.go
+++ b/internal/runner/callers.go
@@ -103,9 +103,10 @@
 	rnr.serveReply(wrt, req, exc)
 }
 
-// bodyLimit returns the number of body bytes to read for a path. It is one byte
-// more than the route allows, so that the reducer can detect and refuse a body
-// that is too large without the whole body being held in memory.
+// bodyLimit returns the largest number of body bytes to read for a path. It is
+// one byte more than the route allows: a body of that size is refused by the
+// reducer, and a larger one by the handler, so that no more of it is held in
+// memory. For a path without a route the limit is table.DefaultMaxBody.
 func (rnr *Runner) bodyLimit(path string) int64 {
 	if rou, ok := rnr.config.Load().RouteFor(path); ok {
 		return rou.MaxBodyBytes + 1
@@ -123,6 +124,7 @@
 		rnr.Post(event.RequestCancelled{Request: exc.ID})
 		rnr.exchanges.Drop(exc.ID)
 	case <-rnr.callsCtx.Done():
+		// The entry has exited: the connection is closed without a response.
 		panic(http.ErrAbortHandler)
 	}
 }
@@ -171,6 +173,8 @@
 	}
 }
 
+// writeHTTPResponse relays an upstream's response. It leaves out the headers
+// that concern only the connection to the upstream or that net/http sets.
 func writeHTTPResponse(wrt http.ResponseWriter, rsp exchange.HTTPResponse) {
 	for name, values := range rsp.Header {
 		switch name {
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithDeadline(rnr.callsCtx, eff.Deadline)
 	key := attemptKey{eff.Work, eff.Attempt}
 	rnr.mu.Lock()
-	rnr.aborts[key] = cancel
+	rnr.attemptCancels[key] = cancel
 	rnr.mu.Unlock()
 	metrics.GetOrRegisterCounter("upstream.attempts", rnr.registry).Inc(1)
 	go func() {
@@ -102,10 +102,12 @@
 	}()
 }
 
+// abort cancels the context of an attempt and forgets it. An attempt that has
+// ended already is ignored.
 func (rnr *Runner) abort(key attemptKey) {
 	rnr.mu.Lock()
-	cancel := rnr.aborts[key]
-	delete(rnr.aborts, key)
+	cancel := rnr.attemptCancels[key]
+	delete(rnr.attemptCancels, key)
 	rnr.mu.Unlock()
 	if cancel != nil {
 		cancel()
--- a/internal/runner/operators.go
+++ b/internal/runner/operators.go
@@ -102,8 +102,8 @@
 	}
 }
 
-// awaitReply returns the reply of an exchange, or nil if the client disconnects or
-// the entry exits first.
+// awaitReply returns the reply of an exchange, or nil if the operator
+// disconnects or the entry exits first.
 func (rnr *Runner) awaitReply(req *http.Request, exc *exchange.Exchange) exchange.Reply {
 	select {
 	case rep := <-exc.Reply():
@@ -186,8 +186,8 @@
 	writeJSON(wrt, status, rsp)
 }
 
-// serveMemberGone accepts an operator's confirmation that a member has ended,
-// so that it can be removed from the voters.
+// serveMemberGone accepts an operator's confirmation that a member, that is, an
+// entry, has terminated, so that it can be removed from the voters.
 func (rnr *Runner) serveMemberGone(wrt http.ResponseWriter, req *http.Request) {
 	id := req.PathValue("member")
 	if _, votes := rnr.config.Load().Voter(id); !votes || id == rnr.id {
--- a/internal/runner/runner.go
+++ b/internal/runner/runner.go
@@ -64,8 +64,10 @@
 	upstream  *upstream.Client
 	workers   *workerclient.Client
 	vmlist    *vmlist.Client
-	ready     atomic.Bool
-	config    atomic.Pointer[table.Config]
+	// ready is the result of the load balancer's readiness check.
+	ready atomic.Bool
+	// config is the configuration in force. It must not be modified.
+	config atomic.Pointer[table.Config]
 
 	callers *http.Server
 	admin   *http.Server
@@ -75,8 +77,9 @@
 	AdminListener   net.Listener
 
 	mu sync.Mutex
-	// aborts cancels the attempts in flight.
-	aborts map[attemptKey]context.CancelFunc
+	// attemptCancels maps each attempt in flight to the function that cancels
+	// its context.
+	attemptCancels map[attemptKey]context.CancelFunc
 	// callsCtx is the parent context of all calls to other processes. It ends
 	// when the entry exits.
 	callsCtx    context.Context
@@ -103,18 +106,18 @@
 	}
 	rnr = &Runner{
 		set: set, id: id,
-		log:       logger.WithField("entry", id),
-		events:    make(chan event.Event, eventQueueLength),
-		exchanges: exchange.NewTable(),
-		clock:     &timeline.Clock{},
-		ring:      timeline.NewRing(set.TimelineEvents),
-		registry:  metrics.NewRegistry(),
-		timers:    map[reflect.Type]metrics.Timer{},
-		upstream:  upstream.New(set.ConnectionShare()),
-		workers:   workerclient.New(),
-		vmlist:    vmlist.New(set.VMList),
-		aborts:    map[attemptKey]context.CancelFunc{},
-		exited:    make(chan struct{}),
+		log:            logger.WithField("entry", id),
+		events:         make(chan event.Event, eventQueueLength),
+		exchanges:      exchange.NewTable(),
+		clock:          &timeline.Clock{},
+		ring:           timeline.NewRing(set.TimelineEvents),
+		registry:       metrics.NewRegistry(),
+		timers:         map[reflect.Type]metrics.Timer{},
+		upstream:       upstream.New(set.ConnectionShare()),
+		workers:        workerclient.New(),
+		vmlist:         vmlist.New(set.VMList),
+		attemptCancels: map[attemptKey]context.CancelFunc{},
+		exited:         make(chan struct{}),
 	}
 	rnr.callsCtx, rnr.cancelCalls = context.WithCancel(context.Background())
 	rnr.config.Store(table.Empty())
@@ -157,7 +160,8 @@
 	return err
 }
 
-// partLogger returns the logger for one part of the entry.
+// partLogger returns a logger for one component of the entry. The component is
+// logged in the field part.
 func (rnr *Runner) partLogger(name string) *logrus.Entry {
 	return rnr.log.WithField("part", name)
 }
@@ -186,10 +190,10 @@
 	var grp run.Group
 	ctx, cancel := context.WithCancel(context.Background())
 	grp.Add(func() error { return rnr.loop(ctx) }, func(error) { cancel() })
-	grp.Add(func() error { return ignoreClosed(rnr.callers.Serve(rnr.CallersListener), rnr.exited) }, func(error) {
+	grp.Add(func() error { return waitAfterShutdown(rnr.callers.Serve(rnr.CallersListener), rnr.exited) }, func(error) {
 		_ = rnr.callers.Close()
 	})
-	grp.Add(func() error { return ignoreClosed(rnr.admin.Serve(rnr.AdminListener), rnr.exited) }, func(error) {
+	grp.Add(func() error { return waitAfterShutdown(rnr.admin.Serve(rnr.AdminListener), rnr.exited) }, func(error) {
 		_ = rnr.admin.Close()
 	})
 	grp.Add(func() error { return rnr.links.Serve(rnr.PeerListener) }, func(error) { _ = rnr.PeerListener.Close() })
@@ -206,10 +210,11 @@
 	}
 }
 
-// ignoreClosed turns the error of a server that was shut down gracefully into
-// nil, and returns only when the entry exits: the run group stops all actors as
-// soon as one returns.
-func ignoreClosed(err error, exited <-chan struct{}) error {
+// waitAfterShutdown handles the error with which a server ended. After a
+// graceful shutdown it waits until the entry exits and returns nil: the run
+// group stops all actors as soon as one returns, so an earlier return would stop
+// the entry. Any other error is returned at once.
+func waitAfterShutdown(err error, exited <-chan struct{}) error {
 	if err != http.ErrServerClosed {
 		return err
 	}
@@ -217,7 +222,7 @@
 	return nil
 }
 
-// loop feeds queued events and ticks to the reducer until the entry exits.
+// loop passes queued events and ticks to the reducer until the entry exits.
 func (rnr *Runner) loop(ctx context.Context) error {
 	seed := make([]byte, 8)
 	if _, err := rand.Read(seed); err != nil {
@@ -247,6 +252,7 @@
 			sta = rnr.step(sta, event.Tick{})
 			tickedAt = time.Now()
 		}
+		// Any event can change the time within which the next tick is due.
 		tick.Reset(time.Until(tickedAt.Add(sta.TickWithin())))
 	}
 }
@@ -288,6 +294,7 @@
 	return timer
 }
 
+// exit makes Run return and cancels all calls to other processes.
 func (rnr *Runner) exit() {
 	rnr.exitOnce.Do(func() {
 		rnr.cancelCalls()
--- a/internal/runner/timer_test.go
+++ b/internal/runner/timer_test.go
@@ -31,8 +31,8 @@
 	var names []string
 	for _, evt := range timedEvents {
 		timer := rnr.timerOf(evt)
-		rnr.registry.Each(func(name string, one any) {
-			if one == any(timer) {
+		rnr.registry.Each(func(name string, registered any) {
+			if registered == any(timer) {
 				names = append(names, name)
 			}
 		})
