--- a/internal/peerlink/frame.go
+++ b/internal/peerlink/frame.go
@@ -13,6 +13,7 @@
 
 // Sizes of a frame, in bytes.
 const (
+	// headerBytes is the size of the length and the stamp.
 	headerBytes = 12
 	stampBytes  = 8
 	// MaxPayloadBytes is the largest payload. A configuration as large as the
--- a/internal/peerlink/links.go
+++ b/internal/peerlink/links.go
@@ -38,10 +38,12 @@
 	// post queues an event for the reducer; it may block.
 	post func(event.Event)
 
+	// mu protects the fields below.
 	mu sync.Mutex
 	// ctx is the parent context of all dialers. It is nil until the first call of
 	// SetAddresses.
-	ctx        context.Context
+	ctx context.Context
+	// configured is the set of addresses given to SetAddresses.
 	configured map[string]bool
 	// learned maps each member with an accepted connection to the address from
 	// its handshake.
@@ -53,6 +55,7 @@
 	outgoing map[string]*outgoing
 	// incoming maps a member to the newest connection accepted from it.
 	incoming map[string]net.Conn
+	// accepted is the number of accepted connections that are open.
 	accepted int
 }
 
@@ -106,8 +109,8 @@
 }
 
 // Send queues a message for a member. Without a connection the message is
-// dropped; PeerDown reports the lost connection to the reducer. If the queue is
-// full, the connection is closed.
+// dropped: event.PeerDown has reported the lost connection to the reducer. If
+// the queue is full, the message is dropped and the connection is closed.
 func (lks *Links) Send(to string, msg message.Message) {
 	payload, err := message.Encode(msg)
 	if err != nil {
--- a/internal/peerlink/outgoing.go
+++ b/internal/peerlink/outgoing.go
@@ -35,7 +35,7 @@
 var errSelf = errors.New("address belongs to this entry")
 
 // serveDialed dials a peer and sends queued messages to it until the connection
-// ends.
+// ends. A second connection to the same peer is closed.
 func (lks *Links) serveDialed(ctx context.Context, address string) error {
 	dialer := net.Dialer{Timeout: dialTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
