--- a/internal/upstream/client.go
+++ b/internal/upstream/client.go
@@ -19,7 +19,7 @@
 // Timeouts and limits of an attempt.
 const (
 	dialTimeout = 500 * time.Millisecond
-	// maxResponseBytes is the largest response that is accepted. A response is
+	// maxResponseBytes is the largest response body that is accepted. A body is
 	// held in memory until it is complete.
 	maxResponseBytes = 8 << 20
 	// idleTimeout is the time after which an idle connection is closed. A
@@ -83,6 +83,7 @@
 
 // doOnNewConn makes an attempt on a new connection that no other request uses.
 func (tgt *target) doOnNewConn(ctx context.Context, att Attempt) Result {
+	// Idle connections of the pool occupy slots that the new connection needs.
 	if tgt.limit.isFull() {
 		tgt.pooled.CloseIdleConnections()
 	}
@@ -94,8 +95,8 @@
 // doRepeatable makes an attempt on a pooled connection. If that connection was
 // reused and no response has arrived after half of the remaining time, it sends
 // the request a second time on a new connection and returns the first complete
-// response. A pooled connection can be dead without being closed while new
-// connections work. The first request is not cancelled: it may only be slow.
+// response. A pooled connection can be unresponsive without being closed while
+// new connections work. The first request is not cancelled: it may only be slow.
 func (tgt *target) doRepeatable(ctx context.Context, att Attempt) Result {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -115,14 +116,16 @@
 	go func() { results <- tgt.doOnNewConn(ctx, att) }()
 	first := <-results
 	if first.Kind == event.AttemptAnswered {
+		// The other pooled connections may be unresponsive too.
 		tgt.pooled.CloseIdleConnections()
 		return first
 	}
 	return moreInformative(first, <-results)
 }
 
-// moreInformative returns the result to report of two for the same request. If
-// either request may have been run, the result never says that it was not run.
+// moreInformative selects the result to report for a request that was sent
+// twice, where only the second result, b, can be a response. A request of which
+// either copy may have been run is never reported as not run.
 func moreInformative(a, b Result) Result {
 	switch {
 	case b.Kind == event.AttemptAnswered || a.Kind == event.AttemptNotRun:
@@ -258,8 +261,10 @@
 	for _, name := range strippedHeaders {
 		hrq.Header.Del(name)
 	}
-	// The transport retries a request by itself if it can get the body again or
-	// the method is idempotent. Only the reducer may decide to retry.
+	// Only the reducer may decide to retry, but the transport retries by itself
+	// if a reused connection fails. Without GetBody it can't send a body again.
+	// It still retries a request without a body whose method is safe or which
+	// has an Idempotency-Key; only repeatable requests use such connections.
 	hrq.GetBody = nil
 	return hrq, nil
 }
