--- a/internal/etcd/client.go
+++ b/internal/etcd/client.go
@@ -19,7 +19,8 @@
 	"github.com/rcrowley/go-metrics"
 )
 
-// maxResponseBytes is the largest part of a response that is read.
+// maxResponseBytes is the largest part of a response that is read. A longer one
+// is truncated and fails to decode.
 const maxResponseBytes = 64 << 20
 
 // Client is a client of one etcd endpoint. It is safe for concurrent use.
@@ -42,8 +43,9 @@
 	}
 }
 
-// Call makes a call and returns its result, which is never nil. Errors are
-// returned as store.Failed.
+// Call executes a store operation and returns its result, which is never nil.
+// Errors are returned as store.Failed; its field Refused is set if no byte of
+// the request can have reached the store.
 func (cli *Client) Call(ctx context.Context, op store.Op) store.Result {
 	res, err := cli.call(ctx, op)
 	if err != nil {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,6 +1,9 @@
-// Package exchange holds the parts of a caller's request that the reducer does
-// not need: the method, headers and body, and the responses of its attempts. It
-// holds them until the caller receives its reply.
+// Package exchange holds the parts of a caller's request that the entry's
+// reducer (package core/entry) does not need: the method, headers and body, and
+// the responses of its attempts. It holds them until there is a reply.
+//
+// A response is what an upstream returned for one attempt to send it the
+// request. A reply is the result that the caller or operator receives.
 package exchange
 
 import (
@@ -26,7 +29,7 @@
 // Refusal is an error response of the entry itself.
 type Refusal struct{ Refusal outcome.Refusal }
 
-// Accepted confirms that a submitted task is in the store.
+// Accepted confirms that a submitted task has been stored.
 type Accepted struct{ TaskID string }
 
 // TaskStatus is the status of a task.
@@ -55,7 +58,7 @@
 	Body   []byte
 }
 
-// Exchange is one client's request that has no reply yet.
+// Exchange is one request of a caller or an operator that has no reply yet.
 type Exchange struct {
 	ID      uint64
 	Request Request
@@ -127,7 +130,8 @@
 	exc.reply <- rep
 }
 
-// Drop closes an exchange without a reply, because its client disconnected.
+// Drop closes an exchange without a reply, because its caller or operator
+// disconnected or the entry exits.
 func (tab *Table) Drop(id uint64) {
 	tab.mu.Lock()
 	defer tab.mu.Unlock()
--- a/internal/vmlist/client.go
+++ b/internal/vmlist/client.go
@@ -1,5 +1,5 @@
-// Package vmlist is a client of the platform's list of VMs. The list lags
-// behind the actual state of the VMs.
+// Package vmlist is a client of the platform's list of VMs. The platform is the
+// system that runs the VMs. Its list lags behind their actual state.
 package vmlist
 
 import (
--- a/internal/workerclient/client.go
+++ b/internal/workerclient/client.go
@@ -1,5 +1,5 @@
 // Package workerclient is a client of the platform's protocol for workers. A
-// worker is a VM that runs tasks. Each task is started under a lease; polls
+// worker is a VM's service that runs tasks. Each task is started under a lease; polls
 // return the state of tasks and renew their leases.
 package workerclient
 
@@ -133,6 +133,8 @@
 	if err != nil {
 		return 0, err
 	}
+	// Without GetBody the transport can't send the body a second time by itself.
+	// Only the reducer may decide to retry.
 	hrq.GetBody = nil
 	hrs, err := cli.http.Do(hrq)
 	if err != nil {
