--- a/internal/outernames/names_test.go
+++ b/internal/outernames/names_test.go
@@ -95,12 +95,13 @@
 }
 
 // fields returns the names and kinds of a type's encoded fields. The fields of
-// a nested struct follow it, indented.
-func fields(typ reflect.Type, tag, indent string, above []reflect.Type) (lines []string) {
+// a nested struct follow it, indented, unless the struct is one of the enclosing
+// types.
+func fields(typ reflect.Type, tag, indent string, enclosing []reflect.Type) (lines []string) {
 	for typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Slice || typ.Kind() == reflect.Map {
 		typ = typ.Elem()
 	}
-	for _, outer := range above {
+	for _, outer := range enclosing {
 		if outer == typ {
 			return nil
 		}
@@ -118,7 +119,7 @@
 			name = fie.Name
 		}
 		lines = append(lines, indent+name+" "+kind(fie.Type))
-		lines = append(lines, fields(fie.Type, tag, indent+"\t", append(above, typ))...)
+		lines = append(lines, fields(fie.Type, tag, indent+"\t", append(enclosing, typ))...)
 	}
 	return lines
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -24,8 +24,8 @@
 
 // Settings are the settings of one entry process.
 type Settings struct {
-	// Name is the prefix of the entry's ID and identifies the entry in logs and
-	// in the time line.
+	// Name is the prefix of the entry's ID, by which the logs and the timeline
+	// identify the entry.
 	Name   string `toml:"name"`
 	Region string `toml:"region"`
 	AZ     string `toml:"az"`
@@ -48,15 +48,18 @@
 	// OperatorKeyHash is the SHA-256 hash of the operators' credential, in
 	// hexadecimal.
 	OperatorKeyHash string `toml:"operator_key_hash"`
-	// MaxEntries is the largest number of entries that run concurrently. The
-	// connections that an executor allows are divided evenly among them.
+	// MaxEntries is the largest number of entries that run concurrently.
+	// ConnectionsPerExecutor is the number of connections that an executor allows
+	// in total. It is divided evenly among the entries.
 	MaxEntries             int `toml:"max_entries"`
 	ConnectionsPerExecutor int `toml:"connections_per_executor"`
 	// StoreWritesPerSecond is the limit of all entries together for writes of
 	// task records.
-	StoreWritesPerSecond int    `toml:"store_writes_per_second"`
-	TimelineEvents       int    `toml:"timeline_events"`
-	LogLevel             string `toml:"log_level"`
+	StoreWritesPerSecond int `toml:"store_writes_per_second"`
+	// TimelineEvents is the number of latest events that the entry keeps for its
+	// timeline.
+	TimelineEvents int    `toml:"timeline_events"`
+	LogLevel       string `toml:"log_level"`
 }
 
 // Load reads and checks a settings file. The error, if any, lists all errors in
@@ -114,6 +117,7 @@
 			fil.Addf(lsn.key, "%s must be host:port", lsn.key)
 			continue
 		}
+		// Port 0 stands for any free port, so two such listeners do not collide.
 		if other, taken := seen[lsn.value]; taken && lsn.value != "127.0.0.1:0" {
 			fil.Addf(lsn.key, "%s is the same address as %s", lsn.key, other)
 		}
--- a/internal/source/file.go
+++ b/internal/source/file.go
@@ -39,7 +39,8 @@
 
 // decodeValues decodes data into target. The decoder stops at the first value
 // of a wrong type, so its line is replaced by an empty one and decoding starts
-// again, to find the errors after it. It reports whether the syntax is valid.
+// again, to find the errors after it. It reports whether the decoder reached the
+// end of the file.
 func (fil *File) decodeValues(data []byte, target any) bool {
 	lines := bytes.SplitAfter(bytes.Clone(data), []byte("\n"))
 	for range maxValueErrors {
@@ -68,8 +69,8 @@
 	return false
 }
 
-// blankLine replaces a line that assigns a value by an empty one. It reports
-// whether it did.
+// blankLine replaces a line by an empty one if it assigns a value, and reports
+// whether it does.
 func blankLine(lines [][]byte, row int) bool {
 	if row < 1 || row > len(lines) {
 		return false
