--- a/internal/core/entry/permits.go
+++ b/internal/core/entry/permits.go
@@ -146,8 +146,8 @@
 		stp.markBacklogDirty()
 	}
 	stp.send(from, message.PermitTransfer{
-		Totals: stp.st.ledger.SentTo(from),
-		Spare:  []message.SparePermits{{Team: req.Team, Permits: stp.spareOf(req.Team)}},
+		Totals:       stp.st.ledger.SentTo(from),
+		SparePermits: []message.SparePermits{{Team: req.Team, Permits: stp.spareOf(req.Team)}},
 	})
 }
 
@@ -185,7 +185,7 @@
 		}
 		stp.markBacklogDirty()
 	}
-	stp.updatePeerSpares(from, msg.Spare)
+	stp.updatePeerSpares(from, msg.SparePermits)
 }
 
 // changedSpares returns the teams whose spare permits have changed enough since
