--- a/internal/manager/dispatcher.go
+++ b/internal/manager/dispatcher.go
@@ -31,7 +31,7 @@
 	// eventQueueSize is how many events may wait for the loop.
 	eventQueueSize = 4096
 	// maxTaskLease bounds how long a VM runs tasks without being polled. It is
-	// longer than a takeover of the duty takes.
+	// longer than a takeover of the duty takes, so that runs outlast one.
 	maxTaskLease = 4 * time.Second
 	// leaseFraction is the part of the longest lease granted by a VM that is
 	// used.
@@ -49,9 +49,9 @@
 	loadWrittenAt time.Time
 	// waveWrites serializes the writes of wave states.
 	waveWrites sync.Mutex
-	// ticketPool sends queries to the advisor; reportedSources is its number of
-	// sources as last reported to the reducer.
-	ticketPool      *advisory.Pool
+	// ticketSources sends queries to the advisor; reportedSources is the number
+	// of available sources that was last reported to the reducer.
+	ticketSources   *advisory.Pool
 	reportedSources int
 }
 
@@ -60,7 +60,7 @@
 	cur := ten.Current()
 	set := nod.settings()
 	bnd := set.Bounds
-	dis := &dispatcher{nod: nod, ten: ten, events: make(chan scheduler.Event, eventQueueSize), ticketPool: advisory.NewPool(nod.now)}
+	dis := &dispatcher{nod: nod, ten: ten, events: make(chan scheduler.Event, eventQueueSize), ticketSources: advisory.NewPool(nod.now)}
 	dis.sta = scheduler.New(scheduler.Options{
 		Since: cur.Since, Revision: cur.Revision, Term: cur.Holder.Term,
 		Lease:    min(maxTaskLease, time.Duration(float64(bnd.MaxTaskLease)*leaseFraction)),
@@ -69,7 +69,7 @@
 		ShareWindow:            bnd.ShareWindow,
 		MachineOrdersPerSecond: set.MachineOrderRate,
 	})
-	go dis.loadState(ctx)
+	go dis.readState(ctx)
 	go dis.followTicketSources(ctx)
 	dis.loop(ctx)
 }
@@ -102,7 +102,7 @@
 			// Events are kept until the duty is guaranteed to be held again.
 			continue
 		}
-		if available := dis.ticketPool.Available(); available != dis.reportedSources {
+		if available := dis.ticketSources.Available(); available != dis.reportedSources {
 			dis.reportedSources = available
 			batch = append(batch, scheduler.AdvisorSlotsChanged{Count: available})
 		}
@@ -119,7 +119,7 @@
 // long, as they rarely change.
 const ticketSourcesWait = 2 * time.Second
 
-// followTicketSources keeps the ticket pool up to date once some queue needs
+// followTicketSources keeps the ticket sources up to date once some queue needs
 // advice.
 func (dis *dispatcher) followTicketSources(ctx context.Context) {
 	for !dis.nod.needsAdvice() {
@@ -129,7 +129,7 @@
 		}
 	}
 	wat := &advisory.Watcher{
-		Store: dis.nod.store, Pool: dis.ticketPool, Name: dis.nod.settings().Name, Local: dis.nod.relay, Wait: ticketSourcesWait,
+		Store: dis.nod.store, Pool: dis.ticketSources, Name: dis.nod.settings().Name, Local: dis.nod.relay, Wait: ticketSourcesWait,
 		Log: dis.nod.log, Now: dis.nod.now,
 	}
 	wat.Run(ctx)
@@ -146,8 +146,8 @@
 	}
 }
 
-// loadState reads the stored state, and follows its changes from then on.
-func (dis *dispatcher) loadState(ctx context.Context) {
+// readState reads the stored state, and follows its changes from then on.
+func (dis *dispatcher) readState(ctx context.Context) {
 	sna := dis.nod.operator.snapshot()
 	for sna.view.Confirmed.IsZero() {
 		var ok bool
@@ -156,14 +156,14 @@
 		}
 	}
 	dis.sendOperatorState(ctx, sna)
-	progress, ok := dis.progress(ctx)
+	progress, ok := dis.readProgress(ctx)
 	if !ok {
 		return
 	}
 	go dis.follow(ctx, platform.VMPrefix, dis.vmsReset(ctx), func(cha kv.Change) { dis.vmChanged(ctx, cha) }, nil)
 	go dis.follow(ctx, job.LivePrefix, dis.jobsReset(ctx, progress), func(cha kv.Change) { dis.jobChanged(ctx, cha, nil) },
 		func(sent time.Time) { dis.send(ctx, scheduler.JobWatchProgressed{At: sent}) })
-	go dis.loadEndedJobs(ctx)
+	go dis.readEndedJobs(ctx)
 	dis.followOperator(ctx, sna)
 }
 
@@ -171,8 +171,8 @@
 // urgent, until a takeover is complete.
 const endedJobsDelay = 5 * time.Second
 
-// loadEndedJobs reads the jobs that earlier dispatchers stored as ended.
-func (dis *dispatcher) loadEndedJobs(ctx context.Context) {
+// readEndedJobs reads the jobs that earlier dispatchers stored as ended.
+func (dis *dispatcher) readEndedJobs(ctx context.Context) {
 	clock.Pause(ctx, endedJobsDelay)
 	items, ok := dis.readAll(ctx, job.EndedPrefix)
 	if !ok {
@@ -210,8 +210,8 @@
 	revision kv.Revision
 }
 
-// progress reads the progress of all live jobs.
-func (dis *dispatcher) progress(ctx context.Context) (all map[job.ID]storedProgress, ok bool) {
+// readProgress reads the stored progress of all live jobs.
+func (dis *dispatcher) readProgress(ctx context.Context) (all map[job.ID]storedProgress, ok bool) {
 	items, ok := dis.readAll(ctx, job.ProgressPrefix)
 	if !ok {
 		return nil, false
