--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -26,7 +26,7 @@
 	Message message.Message
 }
 
-// CallStore makes a call to the store. StoreAnswered must follow within
+// CallStore makes a call to the store. StoreCallEnded must follow within
 // StoreTimeout.
 type CallStore struct {
 	Call uint64
@@ -44,8 +44,8 @@
 	Attempt int
 	VM      string
 	Address string
-	// Repeatable requests may be sent on an idle connection; others need a new
-	// one.
+	// Repeatable requests may be sent on a pooled connection, which can be dead
+	// without being closed; others need a new one.
 	Repeatable bool
 	Deadline   time.Time
 }
@@ -150,13 +150,13 @@
 // Exit ends the process. Nothing is pending.
 type Exit struct{}
 
-// Record adds an event to the timeline.
+// Record adds a record to the timeline, the log of what happened in the process.
 type Record struct {
-	// Part is the component of the entry that recorded the event.
+	// Part is the component of the entry that made the record.
 	Part string
-	// Name is the name of the event in snake case.
+	// Name says what happened, in snake case.
 	Name string
-	// Subject is the object of the event, such as a VM or a member.
+	// Subject is what the record concerns, such as a VM or a member.
 	Subject string
 	Detail  string
 }
--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -81,7 +81,7 @@
 	}
 	stp.st.view = stp.st.view.WithPeer(per)
 	stp.st.echoes = stp.st.echoes.Set(from, hbt.SentNanos)
-	stp.updatePeerSpares(from, hbt.Spare)
+	stp.updatePeerSpares(from, hbt.SparePermits)
 	for _, vmID := range hbt.SeenLeaving {
 		if !stp.st.fleet.IsLeaving(vmID) {
 			stp.st.fleet = stp.st.fleet.WithLeaving(vmID, stp.now)
@@ -142,13 +142,13 @@
 func (stp *step) sendHeartbeat(to string, spares []message.SparePermits) {
 	echo, _ := stp.st.echoes.Get(to)
 	hbt := message.Heartbeat{
-		Revision:    stp.st.config.Revision,
-		AZ:          stp.st.settings.AZ,
-		SentNanos:   max(1, stp.now.Sub(stp.st.started).Nanoseconds()),
-		Echo:        echo,
-		Leaving:     stp.st.view.Leaving(),
-		SeenLeaving: stp.st.fleet.SeenLeaving(),
-		Spare:       spares,
+		Revision:     stp.st.config.Revision,
+		AZ:           stp.st.settings.AZ,
+		SentNanos:    max(1, stp.now.Sub(stp.st.started).Nanoseconds()),
+		Echo:         echo,
+		Leaving:      stp.st.view.Leaving(),
+		SeenLeaving:  stp.st.fleet.SeenLeaving(),
+		SparePermits: spares,
 	}
 	for _, vtr := range stp.st.config.Voters {
 		if stp.st.view.IsGone(vtr.ID) {
@@ -166,7 +166,7 @@
 	}
 }
 
-func (stp *step) handleFleetList(evt event.FleetListed) {
+func (stp *step) handleFleetList(evt event.VMsListed) {
 	stp.detectGoneVoters(evt)
 	stp.st.fleet = stp.st.fleet.WithList(evt.VMs, stp.now)
 	for _, asg := range stp.st.config.VMs {
@@ -181,7 +181,7 @@
 // detectGoneVoters marks the voters as gone whose own VM the platform listed
 // earlier and no longer lists. A VM that was never listed is no evidence,
 // because the list lags.
-func (stp *step) detectGoneVoters(evt event.FleetListed) {
+func (stp *step) detectGoneVoters(evt event.VMsListed) {
 	var gone []string
 	for _, vtr := range stp.st.config.Voters {
 		_, wasListed := stp.st.fleet.VM(vtr.VM)
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -49,11 +49,11 @@
 		stp.handlePeerDown(evt)
 	case event.MessageReceived:
 		stp.handlePeerMessage(evt.Member, evt.Message)
-	case event.StoreAnswered:
+	case event.StoreCallEnded:
 		stp.handleStoreResult(evt)
 	case event.StoreChanged:
 		stp.readHead()
-	case event.FleetListed:
+	case event.VMsListed:
 		stp.handleFleetList(evt)
 	case event.ChangeRequested:
 		stp.handleChangeRequest(evt)
--- a/internal/core/entry/storecall.go
+++ b/internal/core/entry/storecall.go
@@ -163,7 +163,7 @@
 	}}})
 }
 
-func (stp *step) handleStoreResult(evt event.StoreAnswered) {
+func (stp *step) handleStoreResult(evt event.StoreCallEnded) {
 	cal, ok := stp.st.store.calls.Get(evt.Call)
 	if !ok {
 		return
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -40,11 +40,12 @@
 	Request uint64
 	// Path selects the route.
 	Path string
-	// KeyHash is empty when no key came with the request.
+	// KeyHash is the hash of the caller's API key, and empty when none came with
+	// the request.
 	KeyHash string
 	// Idempotent reports whether the HTTP method is idempotent.
 	Idempotent bool
-	// IdempotencyKey is the key that the caller sent, or empty.
+	// IdempotencyKey is the idempotency key that the caller sent, or empty.
 	IdempotencyKey string
 	BodyBytes      int64
 	// Timeout shortens the route's deadline when it is positive.
@@ -57,7 +58,7 @@
 // AttemptResult is the result of an attempt at an upstream.
 type AttemptResult int
 
-// The results of an attempt.
+// The results of an attempt, named like the outcomes of package outcome.
 const (
 	// AttemptAnswered means that the complete response was received.
 	AttemptAnswered AttemptResult = iota + 1
@@ -75,9 +76,10 @@
 	Result  AttemptResult
 	// Status is the HTTP status of the upstream's response, if there was one.
 	Status int
-	// Leaving reports whether the upstream announced its shutdown.
-	Leaving bool
-	Reason  string
+	// UpstreamLeaving reports whether the upstream announced that it shuts down
+	// gracefully.
+	UpstreamLeaving bool
+	Reason          string
 }
 
 // TaskSubmitted is a caller's request to accept a task.
@@ -128,11 +130,12 @@
 type TaskStartEnded struct {
 	Work    work.ID
 	Attempt int
-	// Refused means that the worker is guaranteed not to have accepted the
-	// task. When neither Refused nor Accepted is set, it may have accepted it.
-	Accepted bool
-	Refused  bool
-	Reason   string
+	// Accepted means that the worker accepted the task; NotAccepted means that
+	// it is guaranteed not to have. When neither is set, the worker may have
+	// accepted the task.
+	Accepted    bool
+	NotAccepted bool
+	Reason      string
 }
 
 // WorkerReported is the result of PollWorker.
@@ -159,19 +162,18 @@
 	Message message.Message
 }
 
-// StoreAnswered is the result of a call to the store.
-type StoreAnswered struct {
+// StoreCallEnded reports the result of a CallStore effect.
+type StoreCallEnded struct {
 	Call   uint64
 	Result store.Result
 }
 
-// StoreChanged is a watch notification that the head of the configuration
-// changed.
+// StoreChanged is a watch notification that store.KeyConfigHead changed.
 type StoreChanged struct{}
 
-// FleetListed is the platform's list of VMs, which lags behind their actual
+// VMsListed is the platform's list of VMs, which lags behind their actual
 // state. A driver feeds it when the list has changed.
-type FleetListed struct{ VMs []vm.VM }
+type VMsListed struct{ VMs []vm.VM }
 
 // ChangeRequested is an operator's request to change the configuration.
 type ChangeRequested struct {
@@ -182,7 +184,8 @@
 	Base int64
 }
 
-// MembersGone is an operator's confirmation that members have terminated.
+// MembersGone is an operator's confirmation that members are gone: their
+// processes have terminated, as package member explains.
 type MembersGone struct{ IDs []string }
 
 // StatusRequested is an operator's query for the entry's status.
@@ -210,9 +213,9 @@
 func (PeerUp) isEvent()            {}
 func (PeerDown) isEvent()          {}
 func (MessageReceived) isEvent()   {}
-func (StoreAnswered) isEvent()     {}
+func (StoreCallEnded) isEvent()    {}
 func (StoreChanged) isEvent()      {}
-func (FleetListed) isEvent()       {}
+func (VMsListed) isEvent()         {}
 func (ChangeRequested) isEvent()   {}
 func (StatusRequested) isEvent()   {}
 func (ShutdownRequested) isEvent() {}
--- a/internal/runner/effects.go
+++ b/internal/runner/effects.go
@@ -70,7 +70,7 @@
 func (rnr *Runner) callStore(eff effect.CallStore) {
 	ctx, cancel := context.WithTimeout(rnr.callsCtx, effect.StoreTimeout)
 	defer cancel()
-	rnr.Post(event.StoreAnswered{Call: eff.Call, Result: rnr.store.Call(ctx, eff.Op)})
+	rnr.Post(event.StoreCallEnded{Call: eff.Call, Result: rnr.store.Call(ctx, eff.Op)})
 }
 
 func (rnr *Runner) startAttempt(eff effect.StartAttempt) {
@@ -84,7 +84,7 @@
 	ctx, cancel := context.WithDeadline(rnr.callsCtx, eff.Deadline)
 	key := attemptKey{eff.Work, eff.Attempt}
 	rnr.mu.Lock()
-	rnr.aborts[key] = cancel
+	rnr.attemptCancels[key] = cancel
 	rnr.mu.Unlock()
 	metrics.GetOrRegisterCounter("upstream.attempts", rnr.registry).Inc(1)
 	go func() {
@@ -97,15 +97,17 @@
 		}
 		rnr.Post(event.AttemptEnded{
 			Work: eff.Work, Attempt: eff.Attempt, Result: res.Kind,
-			Status: res.HTTPResponse.Status, Leaving: res.Leaving, Reason: res.Reason,
+			Status: res.HTTPResponse.Status, UpstreamLeaving: res.Leaving, Reason: res.Reason,
 		})
 	}()
 }
 
+// abort cancels the context of an attempt and forgets it. An attempt that has
+// ended already is ignored.
 func (rnr *Runner) abort(key attemptKey) {
 	rnr.mu.Lock()
-	cancel := rnr.aborts[key]
-	delete(rnr.aborts, key)
+	cancel := rnr.attemptCancels[key]
+	delete(rnr.attemptCancels, key)
 	rnr.mu.Unlock()
 	if cancel != nil {
 		cancel()
--- a/internal/runner/timer_test.go
+++ b/internal/runner/timer_test.go
@@ -18,9 +18,9 @@
 
 // timedEvents contains one event of each type.
 var timedEvents = []event.Event{
-	event.AcceptingStopped{}, event.AttemptEnded{}, event.FleetListed{}, event.MembersGone{}, event.ChangeRequested{},
+	event.AcceptingStopped{}, event.AttemptEnded{}, event.VMsListed{}, event.MembersGone{}, event.ChangeRequested{},
 	event.PeerDown{}, event.MessageReceived{}, event.PeerUp{}, event.RequestArrived{}, event.RequestCancelled{},
-	event.ShutdownRequested{}, event.Started{}, event.StatusRequested{}, event.StoreAnswered{}, event.StoreChanged{},
+	event.ShutdownRequested{}, event.Started{}, event.StatusRequested{}, event.StoreCallEnded{}, event.StoreChanged{},
 	event.TaskQueried{}, event.TaskCancelled{}, event.TaskStartEnded{}, event.TaskSubmitted{}, event.Tick{},
 	event.WorkerReported{},
 }
@@ -31,8 +31,8 @@
 	var names []string
 	for _, evt := range timedEvents {
 		timer := rnr.timerOf(evt)
-		rnr.registry.Each(func(name string, one any) {
-			if one == any(timer) {
+		rnr.registry.Each(func(name string, registered any) {
+			if registered == any(timer) {
 				names = append(names, name)
 			}
 		})
