--- a/internal/demo/cluster.go
+++ b/internal/demo/cluster.go
@@ -45,7 +45,7 @@
 	settings   []settings.Settings
 	logger     *logrus.Logger
 
-	mu        sync.Mutex
+	mu      sync.Mutex
 	entries []*entry
 }
 
