--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -107,9 +107,8 @@
 // cutVM cuts the connections to a VM in both directions. Orders delayed by the cut
 // arrive after it is reverted.
 func (run *Run) cutVM(fau Fault, afterFault func(func())) {
-	prx := run.vmProxies[fau.Target]
 	// The ledger identifies a machine by the name of its first VM.
-	machine := fmt.Sprintf("vm-%d", fau.Target)
+	prx, machine := run.vmProxies[fau.Target], fmt.Sprintf("vm-%d", fau.Target)
 	prx.SetCut(true, true)
 	run.ledger.LinkCut(time.Now(), machine)
 	afterFault(func() {
