--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,8 +1,9 @@
 // Package cli implements the command line: it parses arguments, runs the selected
 // subcommand and maps errors to exit codes.
 //
-// An entry is a process of the serve command, which accepts requests and tasks from
-// callers. The commands that connect to running entries use their admin addresses.
+// An entry is a process of the serve command, which accepts requests and tasks
+// from callers. The commands that connect to running entries use their admin
+// addresses.
 package cli
 
 import (
