--- a/internal/core/entry/demand.go
+++ b/internal/core/entry/demand.go
@@ -240,7 +240,7 @@
 		}
 		dsp = dsp.WithoutReportsBefore(stp.now.Add(-reportTTL))
 		for _, id := range dsp.Members() {
-			if id != stp.st.settings.ID && !stp.isReporting(id) {
+			if id != stp.st.settings.ID && !stp.seenRecently(id) {
 				dsp = dsp.WithoutMember(id)
 			}
 		}
@@ -249,9 +249,9 @@
 	}
 }
 
-// isReporting reports whether messages of a member arrive. A leaving member
+// seenRecently reports whether messages of a member arrive. A leaving member
 // still reports the work that it has to finish.
-func (stp *step) isReporting(id string) bool {
+func (stp *step) seenRecently(id string) bool {
 	per, ok := stp.st.view.Peer(id)
 	return ok && stp.now.Sub(per.LastSeenAt) <= member.LivenessTimeout
 }
--- a/internal/core/entry/edits.go
+++ b/internal/core/entry/edits.go
@@ -33,7 +33,7 @@
 // progress.
 type editState struct {
 	pending     []pendingEdit
-	nonces      uint64
+	lastNonce   uint64
 	joinTriedAt time.Time
 }
 
@@ -79,8 +79,8 @@
 }
 
 func (stp *step) submitEdit(pnd pendingEdit) {
-	stp.st.edits.nonces++
-	pnd.nonce = fmt.Sprintf("%s/%d", stp.st.settings.ID, stp.st.edits.nonces)
+	stp.st.edits.lastNonce++
+	pnd.nonce = fmt.Sprintf("%s/%d", stp.st.settings.ID, stp.st.edits.lastNonce)
 	pnd.startedAt = stp.now
 	stp.st.edits.pending = append(slices.Clip(stp.st.edits.pending), pnd)
 	stp.advanceEdit()
@@ -261,10 +261,10 @@
 	}
 }
 
-// editConfirmed continues after a write without a result. The write may still
+// handleEditConfirmation continues after a write without a result. The write may still
 // be in flight, so it is never treated as failed: the edit is read and written
 // again with the same nonce, which can take effect only once.
-func (stp *step) editConfirmed(res store.Result) {
+func (stp *step) handleEditConfirmation(res store.Result) {
 	pnd, ok := stp.currentEdit()
 	if !ok || pnd.phase != editConfirming {
 		return
--- a/internal/core/entry/grant.go
+++ b/internal/core/entry/grant.go
@@ -54,8 +54,8 @@
 
 // consumeRecall reports whether the slot that work has just left is recalled,
 // and counts the slot as returned.
-func (stp *step) consumeRecall(left work.Work) bool {
-	key := slotKey{pool: left.Pool, team: left.Team, reserve: left.Reserve}
+func (stp *step) consumeRecall(ended work.Work) bool {
+	key := slotKey{pool: ended.Pool, team: ended.Team, reserve: ended.Reserve}
 	rcl, ok := stp.st.recalls.Get(key)
 	if !ok {
 		return false
@@ -71,21 +71,21 @@
 
 // reuseSlot starts the next work of a team on the slot that its work has just
 // left, which saves the round trip of a report and a grant.
-func (stp *step) reuseSlot(left work.Work) {
-	if stp.now.Sub(left.GrantedAt) < slotReuseWindow && !stp.consumeRecall(left) {
-		stp.startOnSlot(left.Pool, left.Slot(), stp.nextLane(left))
+func (stp *step) reuseSlot(ended work.Work) {
+	if stp.now.Sub(ended.GrantedAt) < slotReuseWindow && !stp.consumeRecall(ended) {
+		stp.startOnSlot(ended.Pool, ended.Slot(), stp.nextLane(ended))
 	}
 }
 
 // nextLane returns the team's most urgent lane with waiting work. A slot of the
 // reserve is only for urgent work.
-func (stp *step) nextLane(left work.Work) work.Lane {
-	urgent := work.Lane{Team: left.Team, Urgency: table.UrgencyUrgent}
-	if left.Reserve {
+func (stp *step) nextLane(ended work.Work) work.Lane {
+	urgent := work.Lane{Team: ended.Team, Urgency: table.UrgencyUrgent}
+	if ended.Reserve {
 		return urgent
 	}
-	for _, cnt := range stp.pool(left.Pool).queue.Backlog() {
-		if cnt.Lane.Team == left.Team && !cnt.Lane.Retry {
+	for _, cnt := range stp.pool(ended.Pool).queue.Backlog() {
+		if cnt.Lane.Team == ended.Team && !cnt.Lane.Retry {
 			return cnt.Lane
 		}
 	}
--- a/internal/core/entry/measure_test.go
+++ b/internal/core/entry/measure_test.go
@@ -135,16 +135,16 @@
 	drv := deploy(t, 3, deployed)
 	drv.runDuration = func(string) time.Duration { return 50 * time.Millisecond }
 	stop := false
-	asking := map[string]bool{}
+	backlogged := map[string]bool{}
 	for _, tea := range deployed.teams {
 		if tea.Name != "t2" {
-			asking[tea.Name] = true
+			backlogged[tea.Name] = true
 			keepBacklog(drv, tea.Name, 0, 90, &stop)
 		}
 	}
 	drv.run(3 * time.Second)
-	asking["t2"] = true
+	backlogged["t2"] = true
 	keepBacklog(drv, "t2", 0, 90, &stop)
-	worst := worstDeviation(t, meanRunning(drv, time.Second), sharesOf(deployed, asking))
+	worst := worstDeviation(t, meanRunning(drv, time.Second), sharesOf(deployed, backlogged))
 	assert.Assert(t, worst <= 0.05, "worst deviation %.4f", worst)
 }
--- a/internal/core/entry/permits.go
+++ b/internal/core/entry/permits.go
@@ -87,7 +87,7 @@
 		stp.send(peer, req)
 		shortfall -= req.Permits
 	}
-	peers := stp.livePeers()
+	peers := stp.transferPeers()
 	if shortfall <= 0 || len(peers) == 0 {
 		return
 	}
@@ -95,9 +95,9 @@
 	stp.send(peers[stp.random(len(peers))], req)
 }
 
-// livePeers returns the voters other than this entry whose messages arrive and
+// transferPeers returns the voters other than this entry whose messages arrive and
 // with which transfers are not frozen.
-func (stp *step) livePeers() []string {
+func (stp *step) transferPeers() []string {
 	var peers []string
 	for _, per := range stp.st.view.Peers() {
 		_, votes := stp.st.config.Voter(per.ID)
@@ -111,7 +111,7 @@
 // peerWithMostSpare returns the live peer with the most spare permits of a
 // team.
 func (stp *step) peerWithMostSpare(team string) (peer string, spare int) {
-	for _, id := range stp.livePeers() {
+	for _, id := range stp.transferPeers() {
 		peerSpare, _ := stp.st.peerSpares.Get(spareKey{team, id})
 		if peerSpare > spare {
 			peer, spare = id, peerSpare
--- a/internal/core/entry/planner.go
+++ b/internal/core/entry/planner.go
@@ -29,8 +29,8 @@
 	if stp.st.emptyPlanInput == (planInput{stp.st.config.Revision, stp.st.fleet.ListedAt}) {
 		return
 	}
-	busy := len(stp.st.edits.pending) > 0 || stp.st.fleet.ListedAt.IsZero() || stp.st.view.Leaving()
-	if busy || len(stp.st.config.Tables.Pools) == 0 {
+	blocked := len(stp.st.edits.pending) > 0 || stp.st.fleet.ListedAt.IsZero() || stp.st.view.Leaving()
+	if blocked || len(stp.st.config.Tables.Pools) == 0 {
 		return
 	}
 	if member.Leader(stp.st.view.Live(stp.now), "planner") != stp.st.settings.ID {
--- a/internal/core/entry/removal.go
+++ b/internal/core/entry/removal.go
@@ -46,7 +46,7 @@
 func (stp *step) updateAbsent() {
 	var absent []absence
 	for _, id := range stp.st.config.VoterIDs() {
-		if id == stp.st.settings.ID || stp.isReporting(id) || slices.Contains(stp.st.logs.members, id) {
+		if id == stp.st.settings.ID || stp.seenRecently(id) || slices.Contains(stp.st.logState.members, id) {
 			continue
 		}
 		abs := absence{id: id, since: stp.now}
@@ -80,26 +80,26 @@
 		}
 		return
 	}
-	var gone []string
+	var departed []string
 	for _, abs := range rem.absent {
-		if !stp.isReporting(abs.id) && stp.now.Sub(abs.since) >= StopTimeout(stp.st.config) {
-			gone = append(gone, abs.id)
+		if !stp.seenRecently(abs.id) && stp.now.Sub(abs.since) >= StopTimeout(stp.st.config) {
+			departed = append(departed, abs.id)
 		}
 	}
-	if len(gone) > 0 && member.Leader(stp.st.view.Live(stp.now), "adoption") == stp.st.settings.ID {
-		stp.beginRemoval(gone)
+	if len(departed) > 0 && member.Leader(stp.st.view.Live(stp.now), "adoption") == stp.st.settings.ID {
+		stp.beginRemoval(departed)
 	}
 }
 
 // beginRemoval requests every remaining voter to freeze its transfers with the
 // departed ones.
-func (stp *step) beginRemoval(gone []string) {
-	stp.st.removal.members = gone
+func (stp *step) beginRemoval(ids []string) {
+	stp.st.removal.members = ids
 	stp.st.removal.since = stp.now
 	stp.st.removal.replies = nil
 	for _, id := range stp.st.config.VoterIDs() {
-		if !slices.Contains(gone, id) {
-			stp.send(id, message.Freeze{Members: gone})
+		if !slices.Contains(ids, id) {
+			stp.send(id, message.Freeze{Members: ids})
 		}
 	}
 	stp.finishRemoval()
--- a/internal/core/entry/shutdown.go
+++ b/internal/core/entry/shutdown.go
@@ -78,7 +78,7 @@
 // isDrained reports whether no caller waits for the entry and no record waits
 // for the store.
 func (stp *step) isDrained() bool {
-	return stp.st.requests.Len() == 0 && stp.st.logs.submitters.Len() == 0 &&
+	return stp.st.requests.Len() == 0 && stp.st.logState.submitters.Len() == 0 &&
 		stp.st.log.PendingCount() == 0 && len(stp.st.log.InFlight()) == 0
 }
 
@@ -88,7 +88,7 @@
 func (stp *step) handOver() {
 	drn := &stp.st.draining
 	drn.handedOverAt = stp.now
-	successor := member.Leader(stp.livePeers(), "adoption")
+	successor := member.Leader(stp.transferPeers(), "adoption")
 	if successor != "" {
 		stp.sendAllPermits(successor)
 	}
--- a/internal/core/entry/state.go
+++ b/internal/core/entry/state.go
@@ -114,9 +114,9 @@
 	// answerRecordInterval.
 	answeredAt *immutable.SortedMap[string, time.Time]
 
-	log     task.Log
-	logs    logState
-	queries queryState
+	log      task.Log
+	logState logState
+	queries  queryState
 	// registry holds the idempotency keys that this entry is a replica of.
 	registry  idempotency.Registry
 	draining  drainState
@@ -236,7 +236,7 @@
 		suspects:       immutable.NewSortedMap[string, suspicion](nil),
 		log:            task.NewLog(),
 		queries:        newQueryState(),
-		logs:           newLogState(),
+		logState:       newLogState(),
 		registry:       idempotency.NewRegistry(),
 		store:          newStoreState(),
 	}
--- a/internal/core/entry/status.go
+++ b/internal/core/entry/status.go
@@ -31,10 +31,10 @@
 		sts.Pools = append(sts.Pools, stp.poolStatus(poo.Name))
 	}
 	for _, tea := range cfg.Tables.Teams {
-		rights := stp.st.HeldPermits(tea.Name)
+		permits := stp.st.HeldPermits(tea.Name)
 		sts.Teams = append(sts.Teams, effect.TeamStatus{
-			Team: tea.Name, Limit: tea.Limit, Permits: rights,
-			Running: stp.st.Running(tea.Name), InDebt: rights < 0,
+			Team: tea.Name, Limit: tea.Limit, Permits: permits,
+			Running: stp.st.Running(tea.Name), InDebt: permits < 0,
 		})
 	}
 	return sts
--- a/internal/core/entry/storecall.go
+++ b/internal/core/entry/storecall.go
@@ -182,13 +182,13 @@
 	case editWritten:
 		stp.handleEditResult(evt.Result)
 	case editConfirmed:
-		stp.editConfirmed(evt.Result)
+		stp.handleEditConfirmation(evt.Result)
 	case fenceCreated:
 		stp.handleFenceResult(evt.Result)
 	case segmentWritten:
 		stp.handleSegmentResult(evt.Result)
 	case segmentConfirmed:
-		stp.segmentConfirmed(evt.Result)
+		stp.handleSegmentConfirmation(evt.Result)
 	case membersListed:
 		stp.handleMembersResult(evt.Result)
 	case fencesListed:
--- a/internal/core/entry/tasklog.go
+++ b/internal/core/entry/tasklog.go
@@ -12,7 +12,7 @@
 
 // createFence writes the entry's fence. Without it the entry can't own tasks.
 func (stp *step) createFence() {
-	lgs := &stp.st.logs
+	lgs := &stp.st.logState
 	if lgs.fence != 0 || lgs.fencePending || !stp.st.store.registered || stp.now.Sub(lgs.fenceTriedAt) < rewriteDelay {
 		return
 	}
@@ -23,9 +23,9 @@
 }
 
 func (stp *step) handleFenceResult(res store.Result) {
-	stp.st.logs.fencePending = false
+	stp.st.logState.fencePending = false
 	if wrt, ok := res.(store.Written); ok && wrt.Succeeded {
-		stp.st.logs.fence = wrt.Revision
+		stp.st.logState.fence = wrt.Revision
 	}
 }
 
@@ -40,7 +40,7 @@
 // flushLog writes the pending records when the interval has passed, or repeats
 // a write without a result.
 func (stp *step) flushLog() {
-	lgs := &stp.st.logs
+	lgs := &stp.st.logState
 	if lgs.fence == 0 || lgs.writing {
 		return
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	stp.st.log = next
-	stp.st.logs.compacting = true
+	stp.st.logState.compacting = true
 	stp.writeSegment()
 }
 
@@ -77,7 +77,7 @@
 // segment is written only if it does not exist, and only by the owner of the
 // fence.
 func (stp *step) writeSegment() {
-	lgs := &stp.st.logs
+	lgs := &stp.st.logState
 	self := stp.st.settings.ID
 	data, _ := task.EncodeSegment(stp.st.log.InFlight())
 	key := store.LogKey(self, stp.st.log.Seq)
@@ -102,34 +102,34 @@
 }
 
 func (stp *step) handleSegmentResult(res store.Result) {
-	stp.st.logs.writing = false
+	stp.st.logState.writing = false
 	wrt, ok := res.(store.Written)
 	switch {
 	case ok && wrt.Succeeded:
 		stp.segmentStored()
 	case ok:
 		key := store.LogKey(stp.st.settings.ID, stp.st.log.Seq)
-		stp.st.logs.writing = true
+		stp.st.logState.writing = true
 		stp.callStore(segmentConfirmed{}, store.Get{Key: key})
 	default:
-		stp.st.logs.rewriteAt = stp.now.Add(rewriteDelay)
+		stp.st.logState.rewriteAt = stp.now.Add(rewriteDelay)
 	}
 }
 
-// segmentConfirmed continues after a condition of the write failed. If the
+// handleSegmentConfirmation continues after a condition of the write failed. If the
 // segment exists, an earlier write took effect and its reply was lost.
-func (stp *step) segmentConfirmed(res store.Result) {
-	stp.st.logs.writing = false
+func (stp *step) handleSegmentConfirmation(res store.Result) {
+	stp.st.logState.writing = false
 	vls, ok := res.(store.Values)
 	if !ok {
-		stp.st.logs.rewriteAt = stp.now.Add(rewriteDelay)
+		stp.st.logState.rewriteAt = stp.now.Add(rewriteDelay)
 		return
 	}
 	data, _ := task.EncodeSegment(stp.st.log.InFlight())
 	switch {
 	case len(vls.Values) == 1 && bytes.Equal(vls.Values[0].Value, data):
 		stp.segmentStored()
-	case stp.st.logs.adopting != "":
+	case stp.st.logState.adopting != "":
 		stp.abandonAdoption()
 	default:
 		stp.record("task", "fence_lost", stp.st.settings.ID, "another entry adopted the task log")
@@ -140,7 +140,7 @@
 // segmentStored handles the records that are now in the store.
 func (stp *step) segmentStored() {
 	recs := stp.st.log.InFlight()
-	lgs := &stp.st.logs
+	lgs := &stp.st.logState
 	seq := stp.st.log.Seq
 	stp.st.log = stp.st.log.WithWritten()
 	if lgs.compacting {
--- a/internal/core/entry/tasks.go
+++ b/internal/core/entry/tasks.go
@@ -87,15 +87,15 @@
 	}
 	team, refusal := stp.authorize(rou, evt.KeyHash)
 	if refusal == nil {
-		refusal = stp.refuseTask(rou, evt)
+		refusal = stp.taskRefusal(rou, evt)
 	}
 	if refusal != nil {
 		stp.refuse(evt.Request, *refusal)
 		return
 	}
-	stp.st.logs.lastTask++
+	stp.st.logState.lastTask++
 	rec := task.Record{
-		ID:       fmt.Sprintf("%s.%d", stp.st.settings.ID, stp.st.logs.lastTask),
+		ID:       fmt.Sprintf("%s.%d", stp.st.settings.ID, stp.st.logState.lastTask),
 		Team:     team,
 		Queue:    rou.Name,
 		Payload:  evt.Payload,
@@ -104,11 +104,11 @@
 		Deadline: stp.now.Add(time.Duration(rou.Deadline)),
 	}
 	stp.st.log = stp.st.log.WithPending(rec)
-	stp.st.logs.submitters = stp.st.logs.submitters.Set(rec.ID, submitter{evt.Request, stp.now})
+	stp.st.logState.submitters = stp.st.logState.submitters.Set(rec.ID, submitter{evt.Request, stp.now})
 	stp.flushLog()
 }
 
-func (stp *step) refuseTask(rou table.Route, evt event.TaskSubmitted) *outcome.Refusal {
+func (stp *step) taskRefusal(rou table.Route, evt event.TaskSubmitted) *outcome.Refusal {
 	poo, _ := stp.st.config.Pool(rou.Pool)
 	own := stp.pool(rou.Pool)
 	switch {
@@ -152,8 +152,8 @@
 // activateTask creates the work of a task that is in the store, which is new or
 // comes from an adopted log.
 func (stp *step) activateTask(rec task.Record) {
-	if sub, ok := stp.st.logs.submitters.Get(rec.ID); ok {
-		stp.st.logs.submitters = stp.st.logs.submitters.Delete(rec.ID)
+	if sub, ok := stp.st.logState.submitters.Get(rec.ID); ok {
+		stp.st.logState.submitters = stp.st.logState.submitters.Delete(rec.ID)
 		stp.emit(effect.AcceptTask{Request: sub.request, TaskID: rec.ID})
 		stp.record("task", "task_accepted", rec.ID, rec.Queue)
 	}
@@ -253,13 +253,13 @@
 // time. A record that was in no write is dropped, and the task is guaranteed
 // not to be accepted.
 func (stp *step) expireSubmitters() {
-	itr := stp.st.logs.submitters.Iterator()
+	itr := stp.st.logState.submitters.Iterator()
 	for !itr.Done() {
 		id, sub, _ := itr.Next()
 		if stp.now.Sub(sub.since) < acceptTimeout {
 			continue
 		}
-		stp.st.logs.submitters = stp.st.logs.submitters.Delete(id)
+		stp.st.logState.submitters = stp.st.logState.submitters.Delete(id)
 		next, removed := stp.st.log.WithoutPending(id)
 		if removed {
 			stp.st.log = next
--- a/internal/core/entry/workers.go
+++ b/internal/core/entry/workers.go
@@ -18,12 +18,12 @@
 // pollWorkers polls every worker that runs a task of this entry, which renews
 // the tasks' leases, and ends the attempts on lost workers.
 func (stp *step) pollWorkers() {
-	if stp.now.Sub(stp.st.logs.polledAt) < youngPollInterval || stp.st.tasks.Len() == 0 {
+	if stp.now.Sub(stp.st.logState.polledAt) < youngPollInterval || stp.st.tasks.Len() == 0 {
 		return
 	}
-	stp.st.logs.polledAt = stp.now
-	stp.st.logs.polls++
-	all := stp.st.logs.polls%int(pollInterval/youngPollInterval) == 0
+	stp.st.logState.polledAt = stp.now
+	stp.st.logState.polls++
+	all := stp.st.logState.polls%int(pollInterval/youngPollInterval) == 0
 	for _, vmID := range stp.busyWorkers(all) {
 		stp.pollWorker(vmID)
 	}
@@ -56,7 +56,7 @@
 }
 
 func (stp *step) pollWorker(vmID string) {
-	reached, ok := stp.st.logs.reachedAt.Get(vmID)
+	reached, ok := stp.st.logState.reachedAt.Get(vmID)
 	if !ok {
 		stp.recordWorkerContact(vmID)
 		reached = stp.now
@@ -80,13 +80,13 @@
 
 // recordWorkerContact records that a worker was reached.
 func (stp *step) recordWorkerContact(vmID string) {
-	stp.st.logs.reachedAt = stp.st.logs.reachedAt.Set(vmID, stp.now)
+	stp.st.logState.reachedAt = stp.st.logState.reachedAt.Set(vmID, stp.now)
 }
 
 // declareWorkerLost ends the attempts on a worker that has not replied for too
 // long.
 func (stp *step) declareWorkerLost(vmID string) {
-	stp.st.logs.reachedAt = stp.st.logs.reachedAt.Delete(vmID)
+	stp.st.logState.reachedAt = stp.st.logState.reachedAt.Delete(vmID)
 	stp.record("vm", "worker_lost", vmID, "")
 	for _, wrk := range stp.runningTasks() {
 		if wrk.VM == vmID {
@@ -135,9 +135,9 @@
 	}
 }
 
-// failuresBeforeQuarantine is the number of consecutive failures on a worker
+// failuresBeforeSuspicion is the number of consecutive failures on a worker
 // from which they are attributed to the worker rather than to the tasks.
-const failuresBeforeQuarantine = 3
+const failuresBeforeSuspicion = 3
 
 // recordFailure counts a failure on a worker and quarantines it after several
 // in a row. The time doubles with each further failure, so the tasks that it
@@ -146,7 +146,7 @@
 	sus, _ := stp.st.suspects.Get(vmID)
 	sus.failures++
 	stp.st.suspects = stp.st.suspects.Set(vmID, sus)
-	if sus.failures >= failuresBeforeQuarantine {
+	if sus.failures >= failuresBeforeSuspicion {
 		stp.suspect(vmID)
 	}
 }
