--- a/internal/core/entry/adoption.go
+++ b/internal/core/entry/adoption.go
@@ -11,7 +11,7 @@
 )
 
 // adoptionCheckInterval is the time between two searches for task logs whose
-// owner is gone.
+// owner has no lease.
 const adoptionCheckInterval = 2 * time.Second
 
 // checkAdoption starts a search for the task logs of members without a lease.
@@ -73,7 +73,7 @@
 	stp.callStore(logListed{owner: owner}, store.List{Prefix: store.LogPrefix(owner)})
 }
 
-// handleLogResult puts the records of an adopted log in flight as a segment of
+// handleLogResult puts the records of the log to adopt in flight as a segment of
 // the entry's own log. The write that stores the segment also deletes the
 // adopted log.
 func (stp *step) handleLogResult(owner string, res store.Result) {
--- a/internal/core/entry/configuration.go
+++ b/internal/core/entry/configuration.go
@@ -73,7 +73,7 @@
 	stp.retryEditRead()
 }
 
-// applyConfig replaces the configuration by a newer one. edi is the edit that
+// applyConfig replaces the configuration with a newer one. edi is the edit that
 // led to it, or nil if the whole configuration was received.
 func (stp *step) applyConfig(cfg *table.Config, edi *table.Edit) {
 	old := stp.st.config
--- a/internal/core/entry/demand.go
+++ b/internal/core/entry/demand.go
@@ -136,6 +136,7 @@
 func (stp *step) runningInPool(pool string) []message.Running {
 	var running []message.Running
 	itr := stp.st.held.Iterator()
+	// This is the smallest key of the pool.
 	itr.Seek(slotKey{pool: pool, reserve: true})
 	for !itr.Done() {
 		slk, count, _ := itr.Next()
@@ -181,7 +182,8 @@
 	return dsp
 }
 
-// grant runs the pool's dispatcher and sends its grants and recalls.
+// grant runs the pool's dispatcher and sends its grants and recalls. A new
+// dispatcher grants nothing while it gathers the reports of the live members.
 func (stp *step) grant(pool string) {
 	dsp, ok := stp.st.dispatchers.Get(pool)
 	inp, known := stp.dispatcherInput(pool)
@@ -226,8 +228,10 @@
 	}, true
 }
 
-// dropStaleReports drops the reports of members that are silent or report to
-// another dispatcher, and grants the slots that this frees.
+// dropStaleReports drops the reports that were not refreshed, as when the member
+// reports to another dispatcher, and those of silent members, and grants the
+// slots that this frees. It also drops the dispatchers without reports of pools
+// that this entry does not lead.
 func (stp *step) dropStaleReports() {
 	itr := stp.st.dispatchers.Iterator()
 	for !itr.Done() {
@@ -249,8 +253,10 @@
 	}
 }
 
-// seenRecently reports whether messages of a member arrive. A leaving member
-// still reports the work that it has to finish.
+// seenRecently reports whether a message of another member has arrived within
+// member.LivenessTimeout. Unlike the live members, it includes leaving ones,
+// which still report the work that they have to finish, and those whose link
+// has just ended.
 func (stp *step) seenRecently(id string) bool {
 	per, ok := stp.st.view.Peer(id)
 	return ok && stp.now.Sub(per.LastSeenAt) <= member.LivenessTimeout
--- a/internal/core/entry/driver_test.go
+++ b/internal/core/entry/driver_test.go
@@ -305,7 +305,8 @@
 }
 
 // send delivers a message after one to three milliseconds. Messages of one link
-// stay in order unless a fault delays one.
+// stay in order unless a fault delays one. Such faults deliberately break the
+// rules for drivers in the package comment.
 func (drv *driver) send(from *node, to string, msg message.Message) {
 	drv.messages++
 	if data, err := message.Encode(msg); err == nil {
--- a/internal/core/entry/edits.go
+++ b/internal/core/entry/edits.go
@@ -32,7 +32,8 @@
 // editState holds the edits submitted to this entry. Only the first is in
 // progress.
 type editState struct {
-	pending     []pendingEdit
+	pending []pendingEdit
+	// lastNonce is the number in the last edit's nonce.
 	lastNonce   uint64
 	joinTriedAt time.Time
 }
@@ -57,9 +58,12 @@
 // pendingEdit is a change of the configuration that is not complete.
 type pendingEdit struct {
 	// request is 0 for the entry's own edits.
-	request   uint64
-	change    table.Change
-	base      int64
+	request uint64
+	change  table.Change
+	// base is the revision that the change was made from; 0 skips the check.
+	base int64
+	// nonce identifies the edit in the configuration, so that a repeated write
+	// takes effect only once.
 	nonce     string
 	phase     editPhase
 	startedAt time.Time
@@ -261,9 +265,10 @@
 	}
 }
 
-// handleEditConfirmation continues after a write without a result. The write may still
-// be in flight, so it is never treated as failed: the edit is read and written
-// again with the same nonce, which can take effect only once.
+// handleEditConfirmation continues after a write without a result. The write
+// may still be in flight, so it is never treated as failed: the configuration
+// is read again and the edit written again with the same nonce, which can take
+// effect only once.
 func (stp *step) handleEditConfirmation(res store.Result) {
 	pnd, ok := stp.currentEdit()
 	if !ok || pnd.phase != editConfirming {
--- a/internal/core/entry/grant.go
+++ b/internal/core/entry/grant.go
@@ -52,8 +52,8 @@
 	}
 }
 
-// consumeRecall reports whether the slot that work has just left is recalled,
-// and counts the slot as returned.
+// consumeRecall reports whether the slot of work that has just ended is
+// recalled, and counts the slot as returned.
 func (stp *step) consumeRecall(ended work.Work) bool {
 	key := slotKey{pool: ended.Pool, team: ended.Team, reserve: ended.Reserve}
 	rcl, ok := stp.st.recalls.Get(key)
@@ -69,8 +69,8 @@
 	return !stp.now.After(rcl.until)
 }
 
-// reuseSlot starts the next work of a team on the slot that its work has just
-// left, which saves the round trip of a report and a grant.
+// reuseSlot starts the next work of a team on the slot of its work that has just
+// ended, which saves the round trip of a report and a grant.
 func (stp *step) reuseSlot(ended work.Work) {
 	if stp.now.Sub(ended.GrantedAt) < slotReuseWindow && !stp.consumeRecall(ended) {
 		stp.startOnSlot(ended.Pool, ended.Slot(), stp.nextLane(ended))
@@ -92,7 +92,8 @@
 	return urgent
 }
 
-// startOnSlot starts the oldest work of a lane that may run on the slot's VM.
+// startOnSlot starts the oldest work of a lane that may run on the slot's VM, if
+// the team has a free permit.
 func (stp *step) startOnSlot(pool string, slt work.Slot, lan work.Lane) {
 	target, ok := stp.usableVM(pool, slt.VM)
 	if !ok {
@@ -126,8 +127,8 @@
 	return target, true
 }
 
-// reauthorize checks the key of waiting work again and refuses the work if the
-// key was withdrawn.
+// reauthorize reports whether waiting work may still start: its route exists
+// and, for a request, its key is still valid. Otherwise it refuses the work.
 func (stp *step) reauthorize(wrk work.Work) bool {
 	rou, ok := stp.st.config.Route(wrk.Route)
 	if !ok {
@@ -145,7 +146,8 @@
 	return false
 }
 
-// refuseWaiting refuses a request that has not started, or parks a task.
+// refuseWaiting refuses a waiting request, or parks a waiting task: it ends the
+// task as one that can't run.
 func (stp *step) refuseWaiting(wrk work.Work, ref outcome.Refusal) {
 	if wrk.Kind == table.KindTask {
 		stp.parkTask(wrk, ref.Message)
--- a/internal/core/entry/membership.go
+++ b/internal/core/entry/membership.go
@@ -15,8 +15,8 @@
 // forgotten.
 const forgetPeerAfter = time.Minute
 
-// totalsRepeatInterval is the time between two repetitions of the cumulative
-// permits. They are also sent over each new link; the repetition covers a
+// totalsRepeatInterval is the time between two repetitions of the totals of the
+// permits sent. They are also sent over each new link; the repetition covers a
 // transfer that was lost while the link stayed up.
 const totalsRepeatInterval = 5 * time.Second
 
@@ -142,8 +142,9 @@
 func (stp *step) sendHeartbeat(to string, spares []message.SparePermits) {
 	echo, _ := stp.st.echoes.Get(to)
 	hbt := message.Heartbeat{
-		Revision:    stp.st.config.Revision,
-		AZ:          stp.st.settings.AZ,
+		Revision: stp.st.config.Revision,
+		AZ:       stp.st.settings.AZ,
+		// The time since the entry's start, at least 1 because 0 means none.
 		SentNanos:   max(1, stp.now.Sub(stp.st.started).Nanoseconds()),
 		Echo:        echo,
 		Leaving:     stp.st.view.Leaving(),
@@ -158,7 +159,7 @@
 	stp.send(to, hbt)
 }
 
-// sendTotals repeats the cumulative permits sent to a member, in case an
+// sendTotals repeats the totals of the permits sent to a member, in case an
 // earlier message was lost.
 func (stp *step) sendTotals(to string) {
 	if totals := stp.st.ledger.SentTo(to); len(totals) > 0 {
@@ -193,7 +194,7 @@
 	stp.markGone(gone, "the platform no longer lists its VM")
 }
 
-// markGone marks members as gone, that is, known to run no more.
+// markGone marks members as gone, that is, confirmed to run no more.
 func (stp *step) markGone(ids []string, reason string) {
 	for _, id := range ids {
 		if id != stp.st.settings.ID && !stp.st.view.IsGone(id) {
--- a/internal/core/entry/permits.go
+++ b/internal/core/entry/permits.go
@@ -24,7 +24,8 @@
 	oldest  time.Time
 	// urgent is set if urgent work waits.
 	urgent bool
-	// free is the number of permits that are not in use; negative in debt.
+	// free is the number of permits that are not in use. It is negative if the
+	// entry runs more work than it holds permits for.
 	free int
 }
 
@@ -53,7 +54,7 @@
 	return tst
 }
 
-// tickPermits requests the permits that waiting work lacks from the peers.
+// tickPermits requests from the peers the permits that waiting work lacks.
 func (stp *step) tickPermits() {
 	if stp.now.Sub(stp.st.permitsRequestedAt) < permitRequestInterval {
 		return
@@ -95,8 +96,8 @@
 	stp.send(peers[stp.random(len(peers))], req)
 }
 
-// transferPeers returns the voters other than this entry whose messages arrive and
-// with which transfers are not frozen.
+// transferPeers returns the peers that permits can be transferred with: the
+// voters whose messages arrive and with which transfers are not frozen.
 func (stp *step) transferPeers() []string {
 	var peers []string
 	for _, per := range stp.st.view.Peers() {
@@ -108,7 +109,7 @@
 	return peers
 }
 
-// peerWithMostSpare returns the live peer with the most spare permits of a
+// peerWithMostSpare returns the peer that reported the most spare permits of a
 // team.
 func (stp *step) peerWithMostSpare(team string) (peer string, spare int) {
 	for _, id := range stp.transferPeers() {
--- a/internal/core/entry/queries.go
+++ b/internal/core/entry/queries.go
@@ -21,7 +21,9 @@
 	lastID uint64
 	tasks  *immutable.SortedMap[uint64, taskQuery]
 	// reservations holds the requests that wait for their idempotency key to be
-	// reserved. reservationOf maps a request to the hash reserved for it.
+	// reserved. reservationOf maps a request to the hash of its key, from the
+	// start of the reservation until the request is forgotten or its key
+	// released.
 	reservations  *immutable.SortedMap[uint64, pendingReservation]
 	reservationOf *immutable.Map[uint64, string]
 }
--- a/internal/core/entry/reduce.go
+++ b/internal/core/entry/reduce.go
@@ -19,7 +19,8 @@
 }
 
 // TickWithin returns the longest time until the next event.Tick. It is
-// event.TickInterval while work waits or an edit is in progress.
+// event.TickInterval while work, a report to a dispatcher, an edit or a task
+// record waits.
 func (sta State) TickWithin() time.Duration {
 	if sta.backlogged.Len() > 0 || sta.dirty.Len() > 0 || sta.delayed.Len() > 0 || len(sta.edits.pending) > 0 || sta.log.PendingCount() > 0 {
 		return event.TickInterval
@@ -149,9 +150,9 @@
 	stp.emit(effect.Send{To: to, Message: msg})
 }
 
-// handlePeerMessage handles a message of a member. A member that is to be
-// removed only gets a Freeze in reply to its heartbeats; its messages have no
-// effect.
+// handlePeerMessage handles a message of a member. The messages of a dismissed
+// member have no effect; its heartbeats are answered with a Freeze that names
+// the member itself, upon which it exits.
 func (stp *step) handlePeerMessage(from string, msg message.Message) {
 	if !stp.isDismissed(from) {
 		stp.markAlive(from)
--- a/internal/core/entry/removal.go
+++ b/internal/core/entry/removal.go
@@ -27,22 +27,25 @@
 // removalState is the state of a removal of voters by this entry.
 type removalState struct {
 	checkedAt time.Time
-	// absent lists the silent voters without a lease, sorted by ID.
+	// absent lists the voters without messages and without a lease.
 	absent []absence
-	// members is empty while no removal is in progress.
+	// members lists the voters that are being removed. It is empty while no
+	// removal is in progress.
 	members []string
-	since   time.Time
+	// since is when the removal began.
+	since time.Time
+	// replies holds the settlements of the remaining voters so far.
 	replies []table.Settlement
 }
 
-// absence is a silent voter without a lease, and since when.
+// absence is an absent voter, and since when this entry has found it absent.
 type absence struct {
 	id    string
 	since time.Time
 }
 
-// updateAbsent updates the list of voters that are silent and have no lease. It
-// follows each read of the members' leases.
+// updateAbsent updates the list of absent voters. It is called after each read
+// of the members with a lease.
 func (stp *step) updateAbsent() {
 	var absent []absence
 	for _, id := range stp.st.config.VoterIDs() {
@@ -86,13 +89,14 @@
 			departed = append(departed, abs.id)
 		}
 	}
+	// The member that adopts task logs also removes voters.
 	if len(departed) > 0 && member.Leader(stp.st.view.Live(stp.now), "adoption") == stp.st.settings.ID {
 		stp.beginRemoval(departed)
 	}
 }
 
 // beginRemoval requests every remaining voter to freeze its transfers with the
-// departed ones.
+// voters to be removed: departed ones, or this entry in its shutdown.
 func (stp *step) beginRemoval(ids []string) {
 	stp.st.removal.members = ids
 	stp.st.removal.since = stp.now
@@ -129,9 +133,8 @@
 }
 
 // hasStopped reports whether a member is gone, or no message of it has arrived
-// for as long as it takes to stop. Such a member can't count this entry towards
-// its majority either, because contact is proven only by the echo of its own
-// heartbeat.
+// for StopTimeout. Without its heartbeats this entry sends no new echoes, so the
+// member no longer counts this entry towards its majority either.
 func (stp *step) hasStopped(id string) bool {
 	per, known := stp.st.view.Peer(id)
 	return !known || stp.st.view.IsGone(id) || stp.now.Sub(per.LastSeenAt) >= StopTimeout(stp.st.config)
@@ -148,16 +151,16 @@
 	stp.emit(effect.Exit{})
 }
 
-// isDismissed reports whether a member is to be removed without having
-// requested it. It gets no heartbeats, so that it stops, and its messages are
-// void.
+// isDismissed reports whether the transfers with a member are frozen although
+// it is not leaving. It gets no heartbeats, so that it stops, and its messages
+// are void.
 func (stp *step) isDismissed(id string) bool {
 	per, _ := stp.st.view.Peer(id)
 	return stp.st.ledger.IsFrozen(id) && !per.Leaving
 }
 
 // debts returns by how much the work of each team that the entry runs exceeds
-// its permits. This happens when it adopts running tasks.
+// the permits that it holds, as after the adoption of running tasks.
 func (stp *step) debts() []table.TeamPermits {
 	var debts []table.TeamPermits
 	for _, tea := range stp.st.config.Tables.Teams {
@@ -179,8 +182,8 @@
 	stp.finishRemoval()
 }
 
-// finishRemoval removes the departed voters once every remaining one has frozen
-// its transfers, so that the sums can no longer change.
+// finishRemoval submits the edit that removes the voters once every remaining
+// one has frozen its transfers, so that the settlements can no longer change.
 func (stp *step) finishRemoval() {
 	rem := &stp.st.removal
 	for _, id := range stp.st.config.VoterIDs() {
--- a/internal/core/entry/request.go
+++ b/internal/core/entry/request.go
@@ -13,8 +13,8 @@
 
 // Limits of the retries of a request.
 const (
-	// baseRetryBackoff is the wait before the first retry; it doubles with
-	// each.
+	// baseRetryBackoff is the shortest wait before the first retry, and half of
+	// the longest. Both double with each retry.
 	baseRetryBackoff = 20 * time.Millisecond
 	// maxRetryBackoff bounds the wait before a retry.
 	maxRetryBackoff = time.Second
@@ -177,7 +177,9 @@
 // retryOrRefuse schedules a retry if that is safe, a VM and time are left, and
 // either the pool's retry budget allows it or the last attempt reached no VM
 // and an untried one has answered recently. Otherwise it refuses the request.
+// out is the outcome of the last attempt.
 func (stp *step) retryOrRefuse(wrk work.Work, out outcome.Outcome, reason string) {
+	// A shift of 6 already exceeds maxRetryBackoff.
 	backoff := stp.jitter(min(maxRetryBackoff, baseRetryBackoff<<min(wrk.Attempt, 6)))
 	at := stp.now.Add(backoff)
 	safe := out == outcome.NotRun || wrk.Repeatable
@@ -208,9 +210,10 @@
 func anyVM(string) bool { return true }
 
 // answeredRecently reports whether a VM has answered within recentAnswerWindow
-// and is not suspected. Work that reached no VM may go to such a VM without the
-// retry budget, because it has cost no VM anything. In an outage of the whole
-// pool no VM answers, so the budget applies.
+// and has not been suspected since. A suspicion counts even after it expired;
+// the VM's next answer clears it. Work that reached no VM may go to such a VM
+// without the retry budget, because it has cost no VM anything. In an outage of
+// the whole pool no VM answers, so the budget applies.
 func (stp *step) answeredRecently(vmID string) bool {
 	_, suspected := stp.st.suspects.Get(vmID)
 	at, answered := stp.st.answeredAt.Get(vmID)
--- a/internal/core/entry/reservation.go
+++ b/internal/core/entry/reservation.go
@@ -22,9 +22,10 @@
 )
 
 // pendingReservation is a request that waits for its idempotency key to be
-// reserved.
+// reserved. The replicas of a key are the voters that remember it.
 type pendingReservation struct {
 	work work.ID
+	// hash identifies the key and the team in messages.
 	hash string
 	// confirmed lists the replicas that replied that the key is new.
 	confirmed []string
--- a/internal/core/entry/retry_test.go
+++ b/internal/core/entry/retry_test.go
@@ -51,7 +51,8 @@
 }
 
 // TestRetriesDoNotAmplifyAnOutage compares the attempts per request with those
-// of three tries without a budget, which make 1 + p + p*p.
+// of three tries without a budget, which make 1 + p + p*p if a fraction p of
+// the attempts fails.
 func TestRetriesDoNotAmplifyAnOutage(t *testing.T) {
 	t.Parallel()
 	kinds := map[string]event.AttemptResult{"unknown": event.AttemptUnknown, "no connection": event.AttemptNotRun}
--- a/internal/core/entry/shutdown.go
+++ b/internal/core/entry/shutdown.go
@@ -82,9 +82,10 @@
 		stp.st.log.PendingCount() == 0 && len(stp.st.log.InFlight()) == 0
 }
 
-// handOver transfers the free permits to a peer and revokes the lease, so that
-// a peer adopts the tasks. Without running tasks the entry also leaves the
-// voters; otherwise a peer removes it when the permits in use are free.
+// handOver transfers the free permits to the peer that is elected to adopt task
+// logs, and revokes the lease, so that the entry's tasks are adopted. Without
+// running tasks the entry also leaves the voters; otherwise a peer removes it
+// when the permits in use are free.
 func (stp *step) handOver() {
 	drn := &stp.st.draining
 	drn.handedOverAt = stp.now
@@ -94,13 +95,14 @@
 	}
 	if stp.st.store.lease != 0 {
 		drn.leaseRevoked = true
+		// The result is that of a refresh after the lease has expired.
 		stp.callStore(leaseRefreshed{}, store.LeaseRevoke{Lease: stp.st.store.lease})
 	}
 	stp.leaveVoters()
 }
 
-// leaveVoters removes the entry from the voters unless running tasks still use
-// its permits.
+// leaveVoters begins the removal of the entry from the voters unless running
+// tasks still use its permits or an edit is pending.
 func (stp *step) leaveVoters() {
 	stp.st.draining.leaveTriedAt = stp.now
 	if len(stp.runningTasks()) == 0 && len(stp.st.edits.pending) == 0 {
--- a/internal/core/entry/state.go
+++ b/internal/core/entry/state.go
@@ -63,12 +63,14 @@
 	// reportedSpares holds the entry's own spare permits as last reported to
 	// the peers, by team.
 	reportedSpares *immutable.SortedMap[string, int]
-	// totalsAt is when all cumulative permits were last repeated.
+	// totalsAt is when the totals of the permits sent were last repeated to all
+	// peers.
 	totalsAt time.Time
 	// peerSpares holds the spare permits that peers reported, less those
 	// requested since.
 	peerSpares *immutable.SortedMap[spareKey, int]
-	// refreshCheckedAt is when the reports were last checked for a refresh.
+	// refreshCheckedAt is when the reports to dispatchers were last checked for
+	// a refresh.
 	refreshCheckedAt time.Time
 	// permitsRequestedAt is when permits were last requested.
 	permitsRequestedAt time.Time
@@ -87,9 +89,10 @@
 	held *immutable.SortedMap[slotKey, int]
 	// expiry orders the waiting work by deadline.
 	expiry *immutable.SortedMap[timer, struct{}]
-	// recalls holds the slots that dispatchers recall.
+	// recalls holds the slots that dispatchers recall. Its keys have no VM.
 	recalls *immutable.SortedMap[slotKey, recall]
-	// rates holds the rate at which each team's work starts in each pool.
+	// rates holds the rate at which each team's work starts in each pool. Its
+	// keys have only a pool and a team.
 	rates *immutable.SortedMap[slotKey, queue.Rate]
 	// delayed orders the work that waits for a retry by time.
 	delayed *immutable.SortedMap[timer, struct{}]
@@ -114,6 +117,8 @@
 	// answerRecordInterval.
 	answeredAt *immutable.SortedMap[string, time.Time]
 
+	// log holds the records of the entry's tasks. logState is the progress of
+	// its writes, of adoptions and of the polls of workers.
 	log      task.Log
 	logState logState
 	queries  queryState
@@ -155,6 +160,7 @@
 		cmp.Compare(a.team, b.team), compareBool(a.reserve, b.reserve))
 }
 
+// compareBool orders true before false, so the slots of the reserve come first.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -167,13 +173,13 @@
 }
 
 // recall is the number of slots of a team to return, and when the recall
-// expires. Its key has no VM.
+// expires.
 type recall struct {
 	count int
 	until time.Time
 }
 
-// timer is a time at which work is due.
+// timer is a time at which work is due for a retry or reaches its deadline.
 type timer struct {
 	at time.Time
 	id work.ID
@@ -197,9 +203,12 @@
 	return cmp.Or(cmp.Compare(a.team, b.team), cmp.Compare(a.member, b.member))
 }
 
-// suspicion keeps new work from a VM until a time.
+// suspicion keeps new work from a VM until a time. It is kept after that, so
+// that the next one lasts longer, until the VM succeeds.
 type suspicion struct {
-	until    time.Time
+	until time.Time
+	// duration is the nominal duration, before jitter. It is 0 while the VM has
+	// too few failures for a suspicion.
 	duration time.Duration
 	// failures counts the tasks that failed on the VM since the last success.
 	failures int
--- a/internal/core/entry/storecall.go
+++ b/internal/core/entry/storecall.go
@@ -56,7 +56,7 @@
 }
 
 // purpose identifies what a call to the store is for, so that its result can be
-// routed.
+// routed. The names of the purposes state what a successful call has done.
 type purpose interface{ isPurpose() }
 
 type headRead struct{}
--- a/internal/core/entry/task_test.go
+++ b/internal/core/entry/task_test.go
@@ -52,9 +52,10 @@
 	assert.Equal(t, len(drv.taskRuns[id]), 1)
 }
 
-// TestTaskSurvivesLossOfItsEntry kills the entry every few milliseconds around
-// the steps of a task that is not repeatable: before and after it is recorded,
-// started and ended. An accepted task must end and start at most once.
+// TestTaskSurvivesLossOfItsEntry kills the entry of a task that is not
+// repeatable, in each run 7 ms later than in the last: before and after the task
+// is recorded, started and ended. An accepted task must end and start at most
+// once.
 func TestTaskSurvivesLossOfItsEntry(t *testing.T) {
 	for at := time.Duration(0); at <= 400*time.Millisecond; at += 7 * time.Millisecond {
 		drv := deploy(t, uint64(at), withWorkers())
--- a/internal/core/entry/tasklog.go
+++ b/internal/core/entry/tasklog.go
@@ -108,6 +108,7 @@
 	case ok && wrt.Succeeded:
 		stp.segmentStored()
 	case ok:
+		// A condition failed.
 		key := store.LogKey(stp.st.settings.ID, stp.st.log.Seq)
 		stp.st.logState.writing = true
 		stp.callStore(segmentConfirmed{}, store.Get{Key: key})
@@ -116,8 +117,10 @@
 	}
 }
 
-// handleSegmentConfirmation continues after a condition of the write failed. If the
-// segment exists, an earlier write took effect and its reply was lost.
+// handleSegmentConfirmation continues after a condition of the write failed. If
+// the segment exists, an earlier write took effect and its reply was lost.
+// Otherwise a fence has changed: during an adoption it is taken to be that of
+// the log to adopt; else another entry has adopted this entry's log.
 func (stp *step) handleSegmentConfirmation(res store.Result) {
 	stp.st.logState.writing = false
 	vls, ok := res.(store.Values)
--- a/internal/core/entry/tasks.go
+++ b/internal/core/entry/tasks.go
@@ -37,11 +37,13 @@
 	acceptTimeout = 3 * time.Second
 )
 
-// logState is the state around the entry's task log: its fence, its writes, the
-// adoption of other logs, and the polls of workers.
+// logState is the progress of everything that the task log needs besides its
+// records: its fence, its writes, the adoption of other logs, and the polls of
+// workers.
 type logState struct {
 	lastTask uint64
-	// fence is the store's revision of the entry's fence, or 0.
+	// fence is the modification revision of the entry's fence, or 0 while it
+	// has none.
 	fence        int64
 	fencePending bool
 	fenceTriedAt time.Time
@@ -62,7 +64,8 @@
 	polledAt   time.Time
 	// polls counts the rounds of polls.
 	polls int
-	// reachedAt maps a VM to the time of its last reply to a poll.
+	// reachedAt maps a VM to the time from which its silence counts: its last
+	// reply to a poll, or the last start of a task on it if that is later.
 	reachedAt *immutable.SortedMap[string, time.Time]
 }
 
@@ -108,6 +111,8 @@
 	stp.flushLog()
 }
 
+// taskRefusal returns the refusal of a submitted task, or nil if the entry takes
+// it.
 func (stp *step) taskRefusal(rou table.Route, evt event.TaskSubmitted) *outcome.Refusal {
 	poo, _ := stp.st.config.Pool(rou.Pool)
 	own := stp.pool(rou.Pool)
@@ -213,6 +218,8 @@
 	})
 }
 
+// handleTaskStartEnded retries a task that its worker refused. In all other
+// cases the polls of the worker report the task's state.
 func (stp *step) handleTaskStartEnded(evt event.TaskStartEnded) {
 	wrk, ok := stp.st.works.Get(evt.Work)
 	if !ok || wrk.Phase != work.PhaseRunning || wrk.Attempt != evt.Attempt || !evt.Refused {
--- a/internal/core/entry/urgent_test.go
+++ b/internal/core/entry/urgent_test.go
@@ -74,6 +74,7 @@
 	urgency := table.UrgencyNormal
 	run := fmt.Sprint(spk.serial)
 	if spk.serial%10 == 0 {
+		// startPercentile recognizes the entry by the end of the name.
 		run = "urgent " + run + " " + nod.id
 		spk.arrived[run] = spk.now
 		if !spk.fifo {
--- a/internal/core/entry/waiting.go
+++ b/internal/core/entry/waiting.go
@@ -162,7 +162,8 @@
 	return remaining, due
 }
 
-// expire refuses waiting work whose deadline has passed.
+// expire refuses a waiting request, or parks a waiting task, whose deadline has
+// passed.
 func (stp *step) expire(wrk work.Work) {
 	cod, msg := outcome.CodeDeadlinePassed, "The deadline passed before the work could start."
 	if stp.st.HeldPermits(wrk.Team) <= stp.st.Running(wrk.Team) {
--- a/internal/core/entry/workers.go
+++ b/internal/core/entry/workers.go
@@ -78,7 +78,8 @@
 	stp.emit(poll)
 }
 
-// recordWorkerContact records that a worker was reached.
+// recordWorkerContact restarts the time until a worker counts as lost, upon a
+// reply of the worker, the start of a task on it, or the first poll.
 func (stp *step) recordWorkerContact(vmID string) {
 	stp.st.logState.reachedAt = stp.st.logState.reachedAt.Set(vmID, stp.now)
 }
@@ -139,9 +140,9 @@
 // from which they are attributed to the worker rather than to the tasks.
 const failuresBeforeSuspicion = 3
 
-// recordFailure counts a failure on a worker and quarantines it after several
-// in a row. The time doubles with each further failure, so the tasks that it
-// still gets probe it less and less often.
+// recordFailure counts a failure on a worker and suspects it after several in a
+// row. The suspicion doubles with each further failure, so the worker gets the
+// tasks that probe it less and less often.
 func (stp *step) recordFailure(vmID string) {
 	sus, _ := stp.st.suspects.Get(vmID)
 	sus.failures++
