--- a/internal/core/entry/adoption.go
+++ b/internal/core/entry/adoption.go
@@ -17,7 +17,7 @@
 // checkAdoption starts a search for the task logs of members without a lease.
 // Only one live member, chosen by election, does it.
 func (stp *step) checkAdoption() {
-	lgs := &stp.st.logState
+	lgs := &stp.st.logProgress
 	if stp.now.Sub(lgs.adoptionCheckedAt) < adoptionCheckInterval || stp.st.view.Leaving() {
 		return
 	}
@@ -35,9 +35,9 @@
 	if !ok {
 		return
 	}
-	stp.st.logState.members = nil
+	stp.st.logProgress.members = nil
 	for _, kvl := range vls.Values {
-		stp.st.logState.members = append(stp.st.logState.members, strings.TrimPrefix(kvl.Key, store.PrefixMembers))
+		stp.st.logProgress.members = append(stp.st.logProgress.members, strings.TrimPrefix(kvl.Key, store.PrefixMembers))
 	}
 	stp.updateAbsent()
 	stp.callStore(fencesListed{}, store.List{Prefix: store.PrefixFences})
@@ -47,12 +47,12 @@
 // sends no messages. Further logs follow at later checks.
 func (stp *step) handleFencesResult(res store.Result) {
 	vls, ok := res.(store.Values)
-	if !ok || stp.st.logState.adopting != "" {
+	if !ok || stp.st.logProgress.adopting != "" {
 		return
 	}
 	for _, kvl := range vls.Values {
 		owner := strings.TrimPrefix(kvl.Key, store.PrefixFences)
-		if owner == stp.st.settings.ID || slices.Contains(stp.st.logState.members, owner) || stp.seenRecently(owner) {
+		if owner == stp.st.settings.ID || slices.Contains(stp.st.logProgress.members, owner) || stp.seenRecently(owner) {
 			continue
 		}
 		stp.callStore(logFenced{owner: owner}, store.Write{
@@ -69,7 +69,7 @@
 	if !ok || !wrt.Succeeded {
 		return
 	}
-	stp.st.logState.adoptingFence = wrt.Revision
+	stp.st.logProgress.adoptingFence = wrt.Revision
 	stp.callStore(logListed{owner: owner}, store.List{Prefix: store.LogPrefix(owner)})
 }
 
@@ -91,13 +91,13 @@
 		return
 	}
 	stp.st.log = stp.st.log.WithAdopted(recs, stp.now)
-	stp.st.logState.adopting = owner
+	stp.st.logProgress.adopting = owner
 	stp.writeSegment()
 }
 
 // abandonAdoption drops the adopted records in flight because another entry has
 // adopted the log in the meantime.
 func (stp *step) abandonAdoption() {
-	stp.st.logState.adopting = ""
+	stp.st.logProgress.adopting = ""
 	stp.st.log = stp.st.log.WithoutInFlight()
 }
--- a/internal/core/entry/removal.go
+++ b/internal/core/entry/removal.go
@@ -49,7 +49,7 @@
 func (stp *step) updateAbsent() {
 	var absent []absence
 	for _, id := range stp.st.config.VoterIDs() {
-		if id == stp.st.settings.ID || stp.seenRecently(id) || slices.Contains(stp.st.logState.members, id) {
+		if id == stp.st.settings.ID || stp.seenRecently(id) || slices.Contains(stp.st.logProgress.members, id) {
 			continue
 		}
 		abs := absence{id: id, since: stp.now}
--- a/internal/core/entry/shutdown.go
+++ b/internal/core/entry/shutdown.go
@@ -78,7 +78,7 @@
 // isDrained reports whether no caller waits for the entry and no record waits
 // for the store.
 func (stp *step) isDrained() bool {
-	return stp.st.requests.Len() == 0 && stp.st.logState.submitters.Len() == 0 &&
+	return stp.st.requests.Len() == 0 && stp.st.logProgress.submitters.Len() == 0 &&
 		stp.st.log.PendingCount() == 0 && len(stp.st.log.InFlight()) == 0
 }
 
--- a/internal/core/entry/state.go
+++ b/internal/core/entry/state.go
@@ -117,11 +117,11 @@
 	// answerRecordInterval.
 	answeredAt *immutable.SortedMap[string, time.Time]
 
-	// log holds the records of the entry's tasks. logState is the progress of
+	// log holds the records of the entry's tasks. logProgress is the progress of
 	// its writes, of adoptions and of the polls of workers.
-	log      task.Log
-	logState logState
-	queries  queryState
+	log         task.Log
+	logProgress logState
+	queries     queryState
 	// registry holds the idempotency keys that this entry is a replica of.
 	registry  idempotency.Registry
 	draining  drainState
@@ -245,7 +245,7 @@
 		suspects:       immutable.NewSortedMap[string, suspicion](nil),
 		log:            task.NewLog(),
 		queries:        newQueryState(),
-		logState:       newLogState(),
+		logProgress:    newLogState(),
 		registry:       idempotency.NewRegistry(),
 		store:          newStoreState(),
 	}
--- a/internal/core/entry/tasklog.go
+++ b/internal/core/entry/tasklog.go
@@ -12,7 +12,7 @@
 
 // createFence writes the entry's fence. Without it the entry can't own tasks.
 func (stp *step) createFence() {
-	lgs := &stp.st.logState
+	lgs := &stp.st.logProgress
 	if lgs.fence != 0 || lgs.fencePending || !stp.st.store.registered || stp.now.Sub(lgs.fenceTriedAt) < rewriteDelay {
 		return
 	}
@@ -23,9 +23,9 @@
 }
 
 func (stp *step) handleFenceResult(res store.Result) {
-	stp.st.logState.fencePending = false
+	stp.st.logProgress.fencePending = false
 	if wrt, ok := res.(store.Written); ok && wrt.Succeeded {
-		stp.st.logState.fence = wrt.Revision
+		stp.st.logProgress.fence = wrt.Revision
 	}
 }
 
@@ -40,7 +40,7 @@
 // flushLog writes the pending records when the interval has passed, or repeats
 // a write without a result.
 func (stp *step) flushLog() {
-	lgs := &stp.st.logState
+	lgs := &stp.st.logProgress
 	if lgs.fence == 0 || lgs.writing {
 		return
 	}
@@ -69,7 +69,7 @@
 		return
 	}
 	stp.st.log = next
-	stp.st.logState.compacting = true
+	stp.st.logProgress.compacting = true
 	stp.writeSegment()
 }
 
@@ -77,7 +77,7 @@
 // segment is written only if it does not exist, and only by the owner of the
 // fence.
 func (stp *step) writeSegment() {
-	lgs := &stp.st.logState
+	lgs := &stp.st.logProgress
 	self := stp.st.settings.ID
 	data, _ := task.EncodeSegment(stp.st.log.InFlight())
 	key := store.LogKey(self, stp.st.log.Seq)
@@ -102,7 +102,7 @@
 }
 
 func (stp *step) handleSegmentResult(res store.Result) {
-	stp.st.logState.writing = false
+	stp.st.logProgress.writing = false
 	wrt, ok := res.(store.Written)
 	switch {
 	case ok && wrt.Succeeded:
@@ -110,10 +110,10 @@
 	case ok:
 		// A condition failed.
 		key := store.LogKey(stp.st.settings.ID, stp.st.log.Seq)
-		stp.st.logState.writing = true
+		stp.st.logProgress.writing = true
 		stp.callStore(segmentConfirmed{}, store.Get{Key: key})
 	default:
-		stp.st.logState.rewriteAt = stp.now.Add(rewriteDelay)
+		stp.st.logProgress.rewriteAt = stp.now.Add(rewriteDelay)
 	}
 }
 
@@ -122,17 +122,17 @@
 // Otherwise a fence has changed: during an adoption it is taken to be that of
 // the log to adopt; else another entry has adopted this entry's log.
 func (stp *step) handleSegmentConfirmation(res store.Result) {
-	stp.st.logState.writing = false
+	stp.st.logProgress.writing = false
 	vls, ok := res.(store.Values)
 	if !ok {
-		stp.st.logState.rewriteAt = stp.now.Add(rewriteDelay)
+		stp.st.logProgress.rewriteAt = stp.now.Add(rewriteDelay)
 		return
 	}
 	data, _ := task.EncodeSegment(stp.st.log.InFlight())
 	switch {
 	case len(vls.Values) == 1 && bytes.Equal(vls.Values[0].Value, data):
 		stp.segmentStored()
-	case stp.st.logState.adopting != "":
+	case stp.st.logProgress.adopting != "":
 		stp.abandonAdoption()
 	default:
 		stp.record("task", "fence_lost", stp.st.settings.ID, "another entry adopted the task log")
@@ -143,7 +143,7 @@
 // segmentStored handles the records that are now in the store.
 func (stp *step) segmentStored() {
 	recs := stp.st.log.InFlight()
-	lgs := &stp.st.logState
+	lgs := &stp.st.logProgress
 	seq := stp.st.log.Seq
 	stp.st.log = stp.st.log.WithWritten()
 	if lgs.compacting {
--- a/internal/core/entry/tasks.go
+++ b/internal/core/entry/tasks.go
@@ -96,9 +96,9 @@
 		stp.refuse(evt.Request, *refusal)
 		return
 	}
-	stp.st.logState.lastTask++
+	stp.st.logProgress.lastTask++
 	rec := task.Record{
-		ID:       fmt.Sprintf("%s.%d", stp.st.settings.ID, stp.st.logState.lastTask),
+		ID:       fmt.Sprintf("%s.%d", stp.st.settings.ID, stp.st.logProgress.lastTask),
 		Team:     team,
 		Queue:    rou.Name,
 		Payload:  evt.Payload,
@@ -107,7 +107,7 @@
 		Deadline: stp.now.Add(time.Duration(rou.Deadline)),
 	}
 	stp.st.log = stp.st.log.WithPending(rec)
-	stp.st.logState.submitters = stp.st.logState.submitters.Set(rec.ID, submitter{evt.Request, stp.now})
+	stp.st.logProgress.submitters = stp.st.logProgress.submitters.Set(rec.ID, submitter{evt.Request, stp.now})
 	stp.flushLog()
 }
 
@@ -157,8 +157,8 @@
 // activateTask creates the work of a task that is in the store, which is new or
 // comes from an adopted log.
 func (stp *step) activateTask(rec task.Record) {
-	if sub, ok := stp.st.logState.submitters.Get(rec.ID); ok {
-		stp.st.logState.submitters = stp.st.logState.submitters.Delete(rec.ID)
+	if sub, ok := stp.st.logProgress.submitters.Get(rec.ID); ok {
+		stp.st.logProgress.submitters = stp.st.logProgress.submitters.Delete(rec.ID)
 		stp.emit(effect.AcceptTask{Request: sub.request, TaskID: rec.ID})
 		stp.record("task", "task_accepted", rec.ID, rec.Queue)
 	}
@@ -260,13 +260,13 @@
 // time. A record that was in no write is dropped, and the task is guaranteed
 // not to be accepted.
 func (stp *step) expireSubmitters() {
-	itr := stp.st.logState.submitters.Iterator()
+	itr := stp.st.logProgress.submitters.Iterator()
 	for !itr.Done() {
 		id, sub, _ := itr.Next()
 		if stp.now.Sub(sub.since) < acceptTimeout {
 			continue
 		}
-		stp.st.logState.submitters = stp.st.logState.submitters.Delete(id)
+		stp.st.logProgress.submitters = stp.st.logProgress.submitters.Delete(id)
 		next, removed := stp.st.log.WithoutPending(id)
 		if removed {
 			stp.st.log = next
--- a/internal/core/entry/workers.go
+++ b/internal/core/entry/workers.go
@@ -18,12 +18,12 @@
 // pollWorkers polls every worker that runs a task of this entry, which renews
 // the tasks' leases, and ends the attempts on lost workers.
 func (stp *step) pollWorkers() {
-	if stp.now.Sub(stp.st.logState.polledAt) < youngPollInterval || stp.st.tasks.Len() == 0 {
+	if stp.now.Sub(stp.st.logProgress.polledAt) < youngPollInterval || stp.st.tasks.Len() == 0 {
 		return
 	}
-	stp.st.logState.polledAt = stp.now
-	stp.st.logState.polls++
-	all := stp.st.logState.polls%int(pollInterval/youngPollInterval) == 0
+	stp.st.logProgress.polledAt = stp.now
+	stp.st.logProgress.polls++
+	all := stp.st.logProgress.polls%int(pollInterval/youngPollInterval) == 0
 	for _, vmID := range stp.busyWorkers(all) {
 		stp.pollWorker(vmID)
 	}
@@ -56,7 +56,7 @@
 }
 
 func (stp *step) pollWorker(vmID string) {
-	reached, ok := stp.st.logState.reachedAt.Get(vmID)
+	reached, ok := stp.st.logProgress.reachedAt.Get(vmID)
 	if !ok {
 		stp.recordWorkerContact(vmID)
 		reached = stp.now
@@ -81,13 +81,13 @@
 // recordWorkerContact restarts the time until a worker counts as lost, upon a
 // reply of the worker, the start of a task on it, or the first poll.
 func (stp *step) recordWorkerContact(vmID string) {
-	stp.st.logState.reachedAt = stp.st.logState.reachedAt.Set(vmID, stp.now)
+	stp.st.logProgress.reachedAt = stp.st.logProgress.reachedAt.Set(vmID, stp.now)
 }
 
 // declareWorkerLost ends the attempts on a worker that has not replied for too
 // long.
 func (stp *step) declareWorkerLost(vmID string) {
-	stp.st.logState.reachedAt = stp.st.logState.reachedAt.Delete(vmID)
+	stp.st.logProgress.reachedAt = stp.st.logProgress.reachedAt.Delete(vmID)
 	stp.record("vm", "worker_lost", vmID, "")
 	for _, wrk := range stp.runningTasks() {
 		if wrk.VM == vmID {
