--- a/internal/core/entry/removal.go
+++ b/internal/core/entry/removal.go
@@ -27,7 +27,8 @@
 // removalState is the state of a removal of voters by this entry.
 type removalState struct {
 	checkedAt time.Time
-	// absent lists the voters without messages and without a lease.
+	// absent lists the voters without messages and without a lease, sorted by
+	// ID.
 	absent []absence
 	// members lists the voters that are being removed. It is empty while no
 	// removal is in progress.
--- a/internal/core/entry/shutdown.go
+++ b/internal/core/entry/shutdown.go
@@ -95,7 +95,7 @@
 	}
 	if stp.st.store.lease != 0 {
 		drn.leaseRevoked = true
-		// The result is that of a refresh after the lease has expired.
+		// The result is handled like that of a refresh of an expired lease.
 		stp.callStore(leaseRefreshed{}, store.LeaseRevoke{Lease: stp.st.store.lease})
 	}
 	stp.leaveVoters()
--- a/internal/core/entry/workers.go
+++ b/internal/core/entry/workers.go
@@ -141,8 +141,8 @@
 const failuresBeforeSuspicion = 3
 
 // recordFailure counts a failure on a worker and suspects it after several in a
-// row. The suspicion doubles with each further failure, so the worker gets the
-// tasks that probe it less and less often.
+// row. The suspicion doubles with each further failure, so that fewer and fewer
+// tasks are spent on probing the worker.
 func (stp *step) recordFailure(vmID string) {
 	sus, _ := stp.st.suspects.Get(vmID)
 	sus.failures++
