--- a/internal/core/scheduler/schedule_test.go
+++ b/internal/core/scheduler/schedule_test.go
@@ -74,7 +74,7 @@
 	}
 	for i := range 2 {
 		spe := job.Spec{ID: jobName(1000 + i), Queue: "settle", Account: "large", Payload: "x", Steps: []job.Step{{
-			Count: 4, Size: job.Size{CPU: 1500, Memory: 4096}, LongRunning: true, MayMiss: 1,
+			Count: 4, Size: job.Size{CPU: 1500, Memory: 4096}, LongRunning: true, MaxUnavailable: 1,
 		}}}
 		emu.after(100*time.Millisecond, func() { emu.submit(spe) })
 		emu.after(60*time.Second, func() { emu.cancel(spe.ID) })
@@ -184,15 +184,15 @@
 	}
 }
 
-// TestUpkeepRelocatesSiblings checks that two tasks of a step of which only
-// one may be away leave a machine that is due for upkeep one after the other.
+// TestUpkeepRelocatesSiblings checks that two tasks of a step of which only one
+// may be unavailable leave a machine that is due for upkeep one after the other.
 func TestUpkeepRelocatesSiblings(t *testing.T) {
 	emu := newEmulator(1, testCatalog())
 	emu.addVMs("lots", 2, 2, job.Size{CPU: 16_000, Memory: 32_768})
 	emu.takeOver(testOptions())
 	emu.after(100*time.Millisecond, func() {
 		emu.submit(job.Spec{ID: jobName(1), Queue: "settle", Account: "large", Payload: "x", Steps: []job.Step{{
-			Count: 4, Size: job.Size{CPU: 1500, Memory: 4096}, LongRunning: true, MayMiss: 1,
+			Count: 4, Size: job.Size{CPU: 1500, Memory: 4096}, LongRunning: true, MaxUnavailable: 1,
 		}}})
 	})
 	fewest := 4
--- a/internal/core/worker/worker.go
+++ b/internal/core/worker/worker.go
@@ -1,10 +1,11 @@
 // Package worker describes the VMs that run tasks and the reports that they
 // send to the dispatcher.
 //
-// A VM is one incarnation of a VM that runs tasks: from one start of the VM to
-// its end. A Machine is the machine below it, which outlasts incarnations. A run
-// is one attempt to execute a task on a VM. The scheduler calls its record of a VM
-// a host, and package platform calls the client for these VMs Executors.
+// A VM is one incarnation of a virtual machine that runs tasks: from one start to
+// its end. A Machine is what the platform lists, moves and maintains; it outlasts
+// the VMs that run on it. A run is one attempt to execute a task on a VM. The
+// scheduler calls its record of a VM a host, and package platform calls the client
+// for these VMs Executors.
 //
 // The VMs of the entries, which offer the services executor and worker, are
 // described by package vm.
@@ -16,14 +17,15 @@
 	"github.com/balsamgauge/balsamgauge/internal/core/job"
 )
 
-// VM is one incarnation of a VM, as registered in the store. It is immutable.
+// VM is one incarnation of a virtual machine, as registered in the store. It is
+// immutable.
 type VM struct {
 	// ID is unique among incarnations, except that a VM may restart under the
-	// same ID; Born differs then.
+	// same ID; StartedAtMS differs then.
 	ID string
-	// Born is the start time of this incarnation in Unix milliseconds; 0 if not
-	// reported.
-	Born int64
+	// StartedAtMS is the start time of this incarnation in Unix milliseconds; 0
+	// if not reported.
+	StartedAtMS int64
 	// Pool is the name of the pool that the VM serves.
 	Pool    string
 	Address string
@@ -46,7 +48,7 @@
 // SameIncarnation reports whether two registrations belong to the same
 // incarnation. An unreported start time matches any other.
 func (one VM) SameIncarnation(oth VM) bool {
-	return one.ID == oth.ID && (one.Born == oth.Born || one.Born == 0 || oth.Born == 0) && one.Address == oth.Address
+	return one.ID == oth.ID && (one.StartedAtMS == oth.StartedAtMS || one.StartedAtMS == 0 || oth.StartedAtMS == 0) && one.Address == oth.Address
 }
 
 // HasLabel reports whether the VM has the given label.
@@ -105,9 +107,10 @@
 // Report is a VM's response to a poll.
 type Report struct {
 	// Clock is the reading of the VM's own clock at the time of the response.
-	Clock   time.Duration
-	Born    int64
-	Running []Running
+	Clock time.Duration
+	// StartedAtMS is the start time of the incarnation that responded, as in VM.
+	StartedAtMS int64
+	Running     []Running
 	// Ends is sorted by number. All ends with lower numbers than the first one
 	// have been acknowledged.
 	Ends []End
@@ -132,7 +135,8 @@
 	ResultLate
 	// ResultNoRoom means that the VM has too little free capacity for the task.
 	ResultNoRoom
-	// ResultNoTicket means that the ticket from the advisor is missing or invalid.
+	// ResultNoTicket means that the advisor's permission to run the step on the VM
+	// is missing or invalid.
 	ResultNoTicket
 	// ResultUnhealthy means that the order was not carried out: the VM refused it
 	// or could not be reached.
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -124,7 +124,7 @@
 func (obs observer) Acknowledged(_, task string, _ int, result string) {
 	obs.led.Acknowledged(task, result)
 }
-func (obs observer) Broken(violation string) { obs.led.AddViolation(time.Now(), violation) }
+func (obs observer) Violation(violation string) { obs.led.AddViolation(time.Now(), violation) }
 
 // start starts the stand-in and the processes, and waits until these are ready.
 func (run *Run) start() (err error) {
@@ -238,7 +238,7 @@
 	for _, name := range accounts {
 		acc := site.Account{Name: name, Keys: []string{run.keys[name]}}
 		if name == accounts[0] {
-			acc.CPU = smallCapMilliCPU
+			acc.CPULimit = smallCapMilliCPU
 		}
 		cfg.Accounts = append(cfg.Accounts, acc)
 	}
