--- a/internal/core/entry/driver_test.go
+++ b/internal/core/entry/driver_test.go
@@ -170,7 +170,7 @@
 	}
 	drv.nodes = append(drv.nodes, nod)
 	drv.feed(nod, event.Started{})
-	drv.feed(nod, event.FleetListed{VMs: drv.fleet})
+	drv.feed(nod, event.VMsListed{VMs: drv.fleet})
 	for _, other := range drv.nodes {
 		if other != nod && other.alive {
 			drv.feed(nod, event.PeerUp{Member: other.id, AZ: other.az})
@@ -408,7 +408,7 @@
 	answer := func(res store.Result) {
 		if !answered {
 			answered = true
-			drv.feed(nod, event.StoreAnswered{Call: eff.Call, Result: res})
+			drv.feed(nod, event.StoreCallEnded{Call: eff.Call, Result: res})
 		}
 	}
 	drv.after(effect.StoreTimeout, func() { answer(store.Failed{Reason: "timeout"}) })
--- a/internal/core/entry/tasks.go
+++ b/internal/core/entry/tasks.go
@@ -218,11 +218,11 @@
 	})
 }
 
-// handleTaskStartEnded retries a task that its worker refused. In all other
-// cases the polls of the worker report the task's state.
+// handleTaskStartEnded retries a task that its worker has certainly not
+// accepted. In all other cases the polls of the worker report the task's state.
 func (stp *step) handleTaskStartEnded(evt event.TaskStartEnded) {
 	wrk, ok := stp.st.works.Get(evt.Work)
-	if !ok || wrk.Phase != work.PhaseRunning || wrk.Attempt != evt.Attempt || !evt.Refused {
+	if !ok || wrk.Phase != work.PhaseRunning || wrk.Attempt != evt.Attempt || !evt.NotAccepted {
 		return
 	}
 	stp.suspect(wrk.VM)
