--- a/internal/core/entry/adoption.go
+++ b/internal/core/entry/adoption.go
@@ -11,13 +11,13 @@
 )
 
 // adoptionCheckInterval is the time between two searches for task logs whose
-// owner is gone.
+// owner has no lease.
 const adoptionCheckInterval = 2 * time.Second
 
 // checkAdoption starts a search for the task logs of members without a lease.
 // Only one live member, chosen by election, does it.
 func (stp *step) checkAdoption() {
-	lgs := &stp.st.logs
+	lgs := &stp.st.logProgress
 	if stp.now.Sub(lgs.adoptionCheckedAt) < adoptionCheckInterval || stp.st.view.Leaving() {
 		return
 	}
@@ -35,9 +35,9 @@
 	if !ok {
 		return
 	}
-	stp.st.logs.members = nil
+	stp.st.logProgress.members = nil
 	for _, kvl := range vls.Values {
-		stp.st.logs.members = append(stp.st.logs.members, strings.TrimPrefix(kvl.Key, store.PrefixMembers))
+		stp.st.logProgress.members = append(stp.st.logProgress.members, strings.TrimPrefix(kvl.Key, store.PrefixMembers))
 	}
 	stp.updateAbsent()
 	stp.callStore(fencesListed{}, store.List{Prefix: store.PrefixFences})
@@ -47,12 +47,12 @@
 // sends no messages. Further logs follow at later checks.
 func (stp *step) handleFencesResult(res store.Result) {
 	vls, ok := res.(store.Values)
-	if !ok || stp.st.logs.adopting != "" {
+	if !ok || stp.st.logProgress.adopting != "" {
 		return
 	}
 	for _, kvl := range vls.Values {
 		owner := strings.TrimPrefix(kvl.Key, store.PrefixFences)
-		if owner == stp.st.settings.ID || slices.Contains(stp.st.logs.members, owner) || stp.isReporting(owner) {
+		if owner == stp.st.settings.ID || slices.Contains(stp.st.logProgress.members, owner) || stp.seenRecently(owner) {
 			continue
 		}
 		stp.callStore(logFenced{owner: owner}, store.Write{
@@ -69,11 +69,11 @@
 	if !ok || !wrt.Succeeded {
 		return
 	}
-	stp.st.logs.adoptingFence = wrt.Revision
+	stp.st.logProgress.adoptingFence = wrt.Revision
 	stp.callStore(logListed{owner: owner}, store.List{Prefix: store.LogPrefix(owner)})
 }
 
-// handleLogResult puts the records of an adopted log in flight as a segment of
+// handleLogResult puts the records of the log to adopt in flight as a segment of
 // the entry's own log. The write that stores the segment also deletes the
 // adopted log.
 func (stp *step) handleLogResult(owner string, res store.Result) {
@@ -91,13 +91,13 @@
 		return
 	}
 	stp.st.log = stp.st.log.WithAdopted(recs, stp.now)
-	stp.st.logs.adopting = owner
+	stp.st.logProgress.adopting = owner
 	stp.writeSegment()
 }
 
 // abandonAdoption drops the adopted records in flight because another entry has
 // adopted the log in the meantime.
 func (stp *step) abandonAdoption() {
-	stp.st.logs.adopting = ""
+	stp.st.logProgress.adopting = ""
 	stp.st.log = stp.st.log.WithoutInFlight()
 }
--- a/internal/core/entry/shutdown.go
+++ b/internal/core/entry/shutdown.go
@@ -78,29 +78,31 @@
 // isDrained reports whether no caller waits for the entry and no record waits
 // for the store.
 func (stp *step) isDrained() bool {
-	return stp.st.requests.Len() == 0 && stp.st.logs.submitters.Len() == 0 &&
+	return stp.st.requests.Len() == 0 && stp.st.logProgress.submitters.Len() == 0 &&
 		stp.st.log.PendingCount() == 0 && len(stp.st.log.InFlight()) == 0
 }
 
-// handOver transfers the free permits to a peer and revokes the lease, so that
-// a peer adopts the tasks. Without running tasks the entry also leaves the
-// voters; otherwise a peer removes it when the permits in use are free.
+// handOver transfers the free permits to the peer that is elected to adopt task
+// logs, and revokes the lease, so that the entry's tasks are adopted. Without
+// running tasks the entry also leaves the voters; otherwise a peer removes it
+// when the permits in use are free.
 func (stp *step) handOver() {
 	drn := &stp.st.draining
 	drn.handedOverAt = stp.now
-	successor := member.Leader(stp.livePeers(), "adoption")
+	successor := member.Leader(stp.transferPeers(), "adoption")
 	if successor != "" {
 		stp.sendAllPermits(successor)
 	}
 	if stp.st.store.lease != 0 {
 		drn.leaseRevoked = true
+		// The result is handled like that of a refresh of an expired lease.
 		stp.callStore(leaseRefreshed{}, store.LeaseRevoke{Lease: stp.st.store.lease})
 	}
 	stp.leaveVoters()
 }
 
-// leaveVoters removes the entry from the voters unless running tasks still use
-// its permits.
+// leaveVoters begins the removal of the entry from the voters unless running
+// tasks still use its permits or an edit is pending.
 func (stp *step) leaveVoters() {
 	stp.st.draining.leaveTriedAt = stp.now
 	if len(stp.runningTasks()) == 0 && len(stp.st.edits.pending) == 0 {
--- a/internal/core/entry/storecall.go
+++ b/internal/core/entry/storecall.go
@@ -56,7 +56,7 @@
 }
 
 // purpose identifies what a call to the store is for, so that its result can be
-// routed.
+// routed. The names of the purposes state what a successful call has done.
 type purpose interface{ isPurpose() }
 
 type headRead struct{}
@@ -182,13 +182,13 @@
 	case editWritten:
 		stp.handleEditResult(evt.Result)
 	case editConfirmed:
-		stp.editConfirmed(evt.Result)
+		stp.handleEditConfirmation(evt.Result)
 	case fenceCreated:
 		stp.handleFenceResult(evt.Result)
 	case segmentWritten:
 		stp.handleSegmentResult(evt.Result)
 	case segmentConfirmed:
-		stp.segmentConfirmed(evt.Result)
+		stp.handleSegmentConfirmation(evt.Result)
 	case membersListed:
 		stp.handleMembersResult(evt.Result)
 	case fencesListed:
--- a/internal/core/entry/tasks.go
+++ b/internal/core/entry/tasks.go
@@ -37,11 +37,13 @@
 	acceptTimeout = 3 * time.Second
 )
 
-// logState is the state around the entry's task log: its fence, its writes, the
-// adoption of other logs, and the polls of workers.
+// logState is the progress of everything that the task log needs besides its
+// records: its fence, its writes, the adoption of other logs, and the polls of
+// workers.
 type logState struct {
 	lastTask uint64
-	// fence is the store's revision of the entry's fence, or 0.
+	// fence is the modification revision of the entry's fence, or 0 while it
+	// has none.
 	fence        int64
 	fencePending bool
 	fenceTriedAt time.Time
@@ -62,7 +64,8 @@
 	polledAt   time.Time
 	// polls counts the rounds of polls.
 	polls int
-	// reachedAt maps a VM to the time of its last reply to a poll.
+	// reachedAt maps a VM to the time from which its silence counts: its last
+	// reply to a poll, or the last start of a task on it if that is later.
 	reachedAt *immutable.SortedMap[string, time.Time]
 }
 
@@ -87,15 +90,15 @@
 	}
 	team, refusal := stp.authorize(rou, evt.KeyHash)
 	if refusal == nil {
-		refusal = stp.refuseTask(rou, evt)
+		refusal = stp.taskRefusal(rou, evt)
 	}
 	if refusal != nil {
 		stp.refuse(evt.Request, *refusal)
 		return
 	}
-	stp.st.logs.lastTask++
+	stp.st.logProgress.lastTask++
 	rec := task.Record{
-		ID:       fmt.Sprintf("%s.%d", stp.st.settings.ID, stp.st.logs.lastTask),
+		ID:       fmt.Sprintf("%s.%d", stp.st.settings.ID, stp.st.logProgress.lastTask),
 		Team:     team,
 		Queue:    rou.Name,
 		Payload:  evt.Payload,
@@ -104,11 +107,13 @@
 		Deadline: stp.now.Add(time.Duration(rou.Deadline)),
 	}
 	stp.st.log = stp.st.log.WithPending(rec)
-	stp.st.logs.submitters = stp.st.logs.submitters.Set(rec.ID, submitter{evt.Request, stp.now})
+	stp.st.logProgress.submitters = stp.st.logProgress.submitters.Set(rec.ID, submitter{evt.Request, stp.now})
 	stp.flushLog()
 }
 
-func (stp *step) refuseTask(rou table.Route, evt event.TaskSubmitted) *outcome.Refusal {
+// taskRefusal returns the refusal of a submitted task, or nil if the entry takes
+// it.
+func (stp *step) taskRefusal(rou table.Route, evt event.TaskSubmitted) *outcome.Refusal {
 	poo, _ := stp.st.config.Pool(rou.Pool)
 	own := stp.pool(rou.Pool)
 	switch {
@@ -152,8 +157,8 @@
 // activateTask creates the work of a task that is in the store, which is new or
 // comes from an adopted log.
 func (stp *step) activateTask(rec task.Record) {
-	if sub, ok := stp.st.logs.submitters.Get(rec.ID); ok {
-		stp.st.logs.submitters = stp.st.logs.submitters.Delete(rec.ID)
+	if sub, ok := stp.st.logProgress.submitters.Get(rec.ID); ok {
+		stp.st.logProgress.submitters = stp.st.logProgress.submitters.Delete(rec.ID)
 		stp.emit(effect.AcceptTask{Request: sub.request, TaskID: rec.ID})
 		stp.record("task", "task_accepted", rec.ID, rec.Queue)
 	}
@@ -213,6 +218,8 @@
 	})
 }
 
+// handleTaskStartEnded retries a task that its worker has certainly not
+// accepted. In all other cases the polls of the worker report the task's state.
 func (stp *step) handleTaskStartEnded(evt event.TaskStartEnded) {
 	wrk, ok := stp.st.works.Get(evt.Work)
 	if !ok || wrk.Phase != work.PhaseRunning || wrk.Attempt != evt.Attempt || !evt.NotAccepted {
@@ -253,13 +260,13 @@
 // time. A record that was in no write is dropped, and the task is guaranteed
 // not to be accepted.
 func (stp *step) expireSubmitters() {
-	itr := stp.st.logs.submitters.Iterator()
+	itr := stp.st.logProgress.submitters.Iterator()
 	for !itr.Done() {
 		id, sub, _ := itr.Next()
 		if stp.now.Sub(sub.since) < acceptTimeout {
 			continue
 		}
-		stp.st.logs.submitters = stp.st.logs.submitters.Delete(id)
+		stp.st.logProgress.submitters = stp.st.logProgress.submitters.Delete(id)
 		next, removed := stp.st.log.WithoutPending(id)
 		if removed {
 			stp.st.log = next
