--- a/internal/core/dispatch/doc.go
+++ b/internal/core/dispatch/doc.go
@@ -9,5 +9,6 @@
 // slot for its next work until the dispatcher recalls it; a recall requests
 // that the entry return slots as they become free.
 //
-// A VM here is a machine of the pool that runs an executor or a worker.
+// A VM here is one of the pool (vm.VM), which offers the service executor or
+// worker.
 package dispatch
--- a/internal/core/effect/effect.go
+++ b/internal/core/effect/effect.go
@@ -1,8 +1,9 @@
 // Package effect defines the outputs of an entry's reducer. A driver executes
 // the effects in order and feeds their results back as events.
 //
-// A VM is a machine of the platform. The process that it runs is an executor,
-// the upstream of requests, or a worker, which runs tasks.
+// A VM is one incarnation of a virtual machine of the fleet (vm.VM). It offers
+// one of two services: an executor, the upstream of requests, or a worker, which
+// runs tasks.
 package effect
 
 import (
--- a/internal/core/entry/doc.go
+++ b/internal/core/entry/doc.go
@@ -14,11 +14,11 @@
 //   - Messages of one link arrive in order or not at all. If a message is lost,
 //     event.PeerDown is reduced before any later message of that member.
 //
-// A VM is a virtual machine of the fleet; physical hosts do not occur here. An
-// executor is a VM's service that answers requests, also called the upstream of
-// a request. A worker is a VM's service that runs tasks under a lease. Work is
-// a request or a task. A slot is a VM's capacity for one piece of work, and an
-// attempt is one try to run work on a slot.
+// A VM (vm.VM) is one incarnation of a virtual machine of the fleet; physical
+// hosts do not occur here. An executor is a VM's service that answers requests,
+// also called the upstream of a request. A worker is a VM's service that runs
+// tasks under a lease. Work is a request or a task. A slot is a VM's capacity
+// for one piece of work, and an attempt is one try to run work on a slot.
 //
 // The entries are the members of the system; a voter is a member that the
 // configuration lists. For each pool of VMs one live member is elected as the
--- a/internal/core/event/event.go
+++ b/internal/core/event/event.go
@@ -1,8 +1,9 @@
 // Package event defines the inputs of an entry's reducer. Clock, network, store
 // and callers reach the reducer only as events.
 //
-// A VM is a machine of the platform. The process that it runs is an executor,
-// the upstream of requests, or a worker, which runs tasks.
+// A VM is one incarnation of a virtual machine of the fleet (vm.VM). It offers
+// one of two services: an executor, the upstream of requests, or a worker, which
+// runs tasks.
 package event
 
 import (
--- a/internal/core/member/doc.go
+++ b/internal/core/member/doc.go
@@ -11,6 +11,6 @@
 // of contact with the store or with a majority of the voters.
 //
 // A member's ID must be unique to one incarnation of one process, so that a
-// restarted process is a new member. VM here is the machine that a member runs
-// on.
+// restarted process is a new member. A VM here is the entry VM that a member
+// runs on.
 package member
--- a/internal/core/message/message.go
+++ b/internal/core/message/message.go
@@ -3,8 +3,8 @@
 //
 // The messages are a closed set behind Message. Each may be lost, duplicated or
 // delayed: state is sent as cumulative counters, complete reports or revisions,
-// so that receiving a message twice changes nothing. A VM in a message is a
-// machine of the platform that runs an executor or a worker.
+// so that receiving a message twice changes nothing. A VM in a message is one of
+// the fleet (vm.VM), which offers the service executor or worker.
 package message
 
 import (
--- a/internal/core/vm/vm.go
+++ b/internal/core/vm/vm.go
@@ -13,9 +13,9 @@
 	"github.com/benbjohnson/immutable"
 )
 
-// VM is one incarnation of a VM of the fleet.
+// VM is one incarnation of a virtual machine of the fleet.
 type VM struct {
-	// ID is unique to one incarnation of a VM.
+	// ID is unique to one incarnation.
 	ID      string        `json:"id"`
 	AZ      string        `json:"az"`
 	Rack    string        `json:"rack"`
--- a/internal/core/work/work.go
+++ b/internal/core/work/work.go
@@ -1,6 +1,6 @@
 // Package work models the work of the entry that accepted it: a request whose
 // caller waits for the response, or a task whose record is in the store. The VM
-// of an attempt is the machine whose executor or worker runs it.
+// of an attempt is the one (vm.VM) whose executor or worker runs it.
 package work
 
 import (
--- a/pkg/table/doc.go
+++ b/pkg/table/doc.go
@@ -3,6 +3,6 @@
 //
 // A Config is an immutable value with a revision. It changes only by applying a
 // Change, and each Change increments the revision by one. Entries exchange
-// Changes; the store holds the Config. A VM here is a machine of the platform
-// that runs an executor, a worker or a voter.
+// Changes; the store holds the Config. A VM here is a VM of the fleet, which
+// offers the service executor or worker, or the entry VM of a voter.
 package table
