--- a/internal/core/job/job.go
+++ b/internal/core/job/job.go
@@ -1,9 +1,9 @@
 // Package job holds the specification and the progress of jobs. It is pure data.
 //
-// A job consists of steps. A step is a number of equal tasks that start once the
-// steps that it depends on are done. A gang is a step whose tasks run all together
-// or not at all. A recurring job has several occurrences, each of which runs all
-// steps. A run is one attempt to execute a task.
+// A job consists of steps. A step is a number of equal tasks that start once
+// the steps that it depends on are done. A gang is a step whose tasks work only
+// while all of them run. A recurring job has several occurrences, each of which
+// runs all steps. A run is one attempt to execute a task.
 package job
 
 import (
--- a/internal/core/scheduler/doc.go
+++ b/internal/core/scheduler/doc.go
@@ -20,9 +20,9 @@
 //   - A job runs its steps once, or in several occurrences at scheduled times. A
 //     stage is a step of one occurrence, and a gang is a stage whose tasks work
 //     only while all of them run.
-//   - A run is one attempt at a task. Its number rises with each attempt. An end
-//     is a VM's record of a run that is over; the VM reports it until it is
-//     acknowledged.
+//   - A run is one attempt to execute a task. Its number rises with each
+//     attempt. An end is a VM's record of a run that is over; the VM reports it
+//     until it is acknowledged.
 //   - An order is a request to a VM to start, stop or pace a run, or a request
 //     to the platform to move or maintain a machine. A poll asks a VM for its
 //     runs and ends, acknowledges ends and extends the lease under which the VM
--- a/internal/core/upkeep/wave.go
+++ b/internal/core/upkeep/wave.go
@@ -1,11 +1,11 @@
 // Package upkeep plans waves: it decides which machine goes down for maintenance
 // next.
 //
-// Upkeep is the maintenance of a machine, which ends all that runs on it. A wave
-// is a batch of machines whose upkeep is to be done within a time. The plan
-// limits the number of machines that are down at the same time, and keeps each
-// long-running step within its availability budget: the number of its tasks that
-// may be unavailable at the same time (MaxUnavailable).
+// Upkeep is the maintenance of a machine, which ends all that runs on it. A
+// wave is a batch of upkeep: of machines whose upkeep is to be done within a
+// time. The plan limits the number of machines that are down at the same time,
+// and keeps each long-running step within its availability budget: the number
+// of its tasks that may be unavailable at the same time (MaxUnavailable).
 package upkeep
 
 import (
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -1,6 +1,7 @@
 // Package explain traces one job, task or VM through the logs of all processes.
 //
-// A VM runs tasks on a machine; the next VM on the machine has another ID.
+// A VM (worker.VM) is one incarnation of a virtual machine that runs tasks; the
+// machine outlasts it.
 package explain
 
 import (
--- a/internal/manager/doc.go
+++ b/internal/manager/doc.go
@@ -11,6 +11,6 @@
 // progress, the duty and the dispatcher's load (scheduler.Load), from which
 // each process decides whether to admit a job.
 //
-// A VM without qualification is one that runs tasks (worker.VM), one
-// incarnation of a machine.
+// A VM without qualification is one incarnation of a virtual machine that runs
+// tasks (worker.VM).
 package manager
--- a/internal/standin/site/site.go
+++ b/internal/standin/site/site.go
@@ -4,9 +4,10 @@
 // processes of the manage command without the platform. Package fleet has the
 // stand-ins for entries, the processes of the serve command.
 //
-// A machine is a host in one of the pools. It runs at most one VM at a time. A
-// Worker is a machine together with its VM. An incarnation is a VM from its start
-// to its end; the next VM on the machine is a new incarnation with a new id.
+// A machine belongs to one of the pools and outlasts its VMs. It runs at most
+// one VM at a time. A Worker is a machine together with its VM. An incarnation
+// is a VM from its start to its end; the next VM on the machine is a new
+// incarnation with a new id.
 //
 // Upkeep is the maintenance of a machine, during which it runs no VM, and a wave
 // is a batch of upkeep. The duty is the exclusive right to dispatch; only the
--- a/internal/standin/taskworker/taskworker.go
+++ b/internal/standin/taskworker/taskworker.go
@@ -1,6 +1,6 @@
-// Package taskworker is a stand-in for a worker, the process on one of the
-// platform's VMs that runs tasks. It runs each task under a lease, fences tasks by
-// attempt, and fails those whose lease lapses.
+// Package taskworker is a stand-in for a worker, the service of a VM that runs
+// tasks. It runs each task under a lease, fences tasks by attempt, and fails
+// those whose lease lapses.
 package taskworker
 
 import (
