--- a/internal/timeline/doc.go
+++ b/internal/timeline/doc.go
@@ -1,5 +1,5 @@
 // Package timeline records the events of a process with stamps of a hybrid logical
-// clock, and merges the events of several processes into one time line.
+// clock, and merges the events of several processes into one timeline.
 //
 // The clock implements Kulkarni, Demirbas, Madappa, Avva and Leone, "Logical
 // Physical Clocks" (OPODIS 2014): a stamp is higher than any that the process has
