--- a/internal/core/entry/edits.go
+++ b/internal/core/entry/edits.go
@@ -254,7 +254,7 @@
 		stp.replicateEdit(pnd)
 	case answered:
 		// Another edit was written first, or this one took effect in an earlier
-		// attempt whose reply was lost. Reading the head shows which.
+		// attempt whose response was lost. Reading the head shows which.
 		pnd.phase = editReading
 		stp.setCurrentEdit(pnd)
 		stp.readHead()
--- a/internal/core/entry/tasklog.go
+++ b/internal/core/entry/tasklog.go
@@ -118,7 +118,7 @@
 }
 
 // handleSegmentConfirmation continues after a condition of the write failed. If
-// the segment exists, an earlier write took effect and its reply was lost.
+// the segment exists, an earlier write took effect and its response was lost.
 // Otherwise a fence has changed: during an adoption it is taken to be that of
 // the log to adopt; else another entry has adopted this entry's log.
 func (stp *step) handleSegmentConfirmation(res store.Result) {
