--- a/pkg/table/change.go
+++ b/pkg/table/change.go
@@ -194,7 +194,7 @@
 	}
 	for _, old := range cfg.Keys {
 		if old.Name == key.Name || old.Hash == key.Hash {
-			return fmt.Errorf("a key named %q already exists", old.Name)
+			return fmt.Errorf("a key named %q is there already", old.Name)
 		}
 	}
 	cfg.Keys = append(slices.Clone(cfg.Keys), key)
