--- a/internal/outernames/names_test.go
+++ b/internal/outernames/names_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"reflect"
+	"slices"
 	"strings"
 	"testing"
 
@@ -79,19 +80,25 @@
 
 // TestValues guards against renamed values in logs and metrics.
 func TestValues(t *testing.T) {
-	lines := []string{"verdict"}
-	for val := intake.VerdictOK; val <= intake.VerdictUnknown; val++ {
-		lines = append(lines, "\t"+val.String())
-	}
-	lines = append(lines, "order")
-	for val := worker.ResultOK; val <= worker.ResultInvalid; val++ {
-		lines = append(lines, "\t"+val.String())
-	}
-	lines = append(lines, "machine order")
-	for val := worker.MachineOK; val <= worker.MachineInvalid; val++ {
+	lines := slices.Concat(
+		values("verdict", intake.VerdictUnknown),
+		values("order", worker.ResultInvalid),
+		values("machine order", worker.MachineInvalid),
+	)
+	golden.Assert(t, strings.Join(lines, "\n")+"\n", "values.golden")
+}
+
+// values returns a heading and the names of an enumeration's values, indented,
+// from the first one, which is zero, to the last.
+func values[T interface {
+	~int
+	fmt.Stringer
+}](heading string, last T) (lines []string) {
+	lines = []string{heading}
+	for val := T(0); val <= last; val++ {
 		lines = append(lines, "\t"+val.String())
 	}
-	golden.Assert(t, strings.Join(lines, "\n")+"\n", "values.golden")
+	return lines
 }
 
 // fields returns the names and kinds of a type's encoded fields. The fields of
@@ -101,12 +108,7 @@
 	for typ.Kind() == reflect.Pointer || typ.Kind() == reflect.Slice || typ.Kind() == reflect.Map {
 		typ = typ.Elem()
 	}
-	for _, outer := range enclosing {
-		if outer == typ {
-			return nil
-		}
-	}
-	if typ.Kind() != reflect.Struct || typ.PkgPath() == "time" {
+	if typ.Kind() != reflect.Struct || typ.PkgPath() == "time" || slices.Contains(enclosing, typ) {
 		return nil
 	}
 	for i := range typ.NumField() {
